--- a/include/oleanderhall/maintenance/hostinfo.h
+++ b/include/oleanderhall/maintenance/hostinfo.h
@@ -2,7 +2,7 @@
 
 #include "oleanderhall/core/ids.h"
 #include "oleanderhall/jobs/resources.h"
-#include "oleanderhall/scheduling/workerreport.h"
+#include "oleanderhall/scheduling/workerinfo.h"
 
 namespace oleanderhall {
 
--- a/include/oleanderhall/scheduling/arrivalrate.h
+++ b/include/oleanderhall/scheduling/arrivalrate.h
@@ -10,7 +10,7 @@
 {
 public:
     explicit ArrivalRate(Millis memory = Millis(700))
-        : m_memory(memory)
+        : m_timeConstant(memory)
     {}
 
     void add(double amount, Instant now);
@@ -20,8 +20,8 @@
 private:
     double decayed(Instant now) const;
 
-    Millis m_memory;
-    double m_weight = 0;
+    Millis m_timeConstant;
+    double m_decayedSum = 0;
     Instant m_updated{};
 };
 
--- a/include/oleanderhall/scheduling/joborder.h
+++ b/include/oleanderhall/scheduling/jobrank.h
@@ -7,17 +7,17 @@
 namespace oleanderhall {
 
 /// What the order of waiting jobs rests on.
-struct JobFacts
+struct JobRankInputs
 {
     bool isLongRunning = false;
     int priority = 0; ///< Of the queue; 0 comes first.
     double stretch = 1; ///< The objective is this many times the whole chain...
     Millis allowance{0}; ///< ...and this much more.
     Millis age{0}; ///< Since the job was accepted.
-    Millis wholeChain{0}; ///< Expected run time of the longest chain of steps.
-    Millis chainLeft{0};
-    double wholeWork = 0; ///< In core-seconds.
-    double workLeft = 0;
+    Millis criticalPath{0}; ///< Expected run time of the longest chain of steps.
+    Millis remainingCriticalPath{0};
+    double totalWork = 0; ///< In core-seconds.
+    double remainingWork = 0;
     double meanWork = 0; ///< Of the queue's jobs.
 };
 
@@ -28,16 +28,16 @@
 /// overload many small jobs are in time where first come first served would make all late.
 struct JobRank
 {
-    enum class Chance { InTime, Late, Useless };
+    enum class Timeliness { InTime, Late, Expired };
 
     int priority = 0;
-    Chance chance = Chance::InTime;
-    double negatedDensity = 0;
+    Timeliness timeliness = Timeliness::InTime;
+    double negatedValueDensity = 0;
 
     friend auto operator<=>(const JobRank &, const JobRank &) = default;
 };
 
 /// Returns the rank of a job. It only compares with ranks taken at the same time.
-JobRank rankOf(const JobFacts &facts);
+JobRank rankOf(const JobRankInputs &facts);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/leaseclock.h
+++ b/include/oleanderhall/scheduling/leaseclock.h
@@ -15,26 +15,26 @@
 
     bool isKnown() const { return m_isKnown; }
     /// Records that the worker's clock stood at `clock` at `heard` or a little earlier.
-    void hear(Millis clock, Instant heard);
+    void observe(Millis clock, Instant heard);
     /// Returns the latest time that the worker's clock can show at `now`.
-    Millis latest(Instant now) const;
+    Millis latestTime(Instant now) const;
     /// Records that an order was sent that lets runs go on until `end` on the worker's clock.
-    void grant(Millis end);
+    void recordGranted(Millis end);
     /// Records that the worker has answered an order with a lease until `end`.
-    void confirm(Millis end);
+    void recordConfirmed(Millis end);
     /// Returns the end of the longest lease that the worker is known to hold. A longer one may have
     /// been granted by an order that was lost.
-    Millis confirmed() const { return m_confirmed; }
+    Millis confirmedExpiry() const { return m_confirmedExpiry; }
     /// Returns whether the worker's clock has certainly passed every granted lease.
-    bool hasLapsed(Instant now, Millis slack) const;
+    bool allLeasesExpired(Instant now, Millis slack) const;
 
 private:
     double m_drift;
     bool m_isKnown = false;
-    Millis m_clock{0};
-    Instant m_heard;
-    Millis m_granted{0};
-    Millis m_confirmed{0};
+    Millis m_observedTime{0};
+    Instant m_observedAt;
+    Millis m_grantedExpiry{0};
+    Millis m_confirmedExpiry{0};
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/pooldemand.h
+++ b/include/oleanderhall/scheduling/pooldemand.h
@@ -11,7 +11,7 @@
 {
     double cores = 0; ///< That finish the accepted work in time, and what arrives meanwhile.
     double longRunningCores = 0; ///< Of tasks that run until they are cancelled.
-    int leastHosts = 0; ///< That let tasks be spread as their steps ask.
+    int minHosts = 0; ///< That let tasks be spread as their steps ask.
 };
 
 using PoolDemands = std::map<ServiceId, PoolDemand>;
--- a/include/oleanderhall/scheduling/queueload.h
+++ b/include/oleanderhall/scheduling/queueload.h
@@ -9,7 +9,7 @@
 struct QueueLoad
 {
     std::string queue;
-    std::int64_t waiting = 0; ///< Accepted jobs of which no task has started.
+    std::int64_t waitingJobs = 0; ///< Accepted jobs of which no task has started.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/runtimemodel.h
+++ b/include/oleanderhall/scheduling/runtimemodel.h
@@ -24,14 +24,14 @@
     double meanWork(const std::string &queue) const;
 
 private:
-    struct Learned
+    struct QueueStatistics
     {
-        double mean = 0; ///< Of run times, in milliseconds.
-        double ratio = 1; ///< Of run time over estimate.
-        double work = 0; ///< Mean of jobs, in core-seconds.
-        int seen = 0;
+        double meanRunTimeMs = 0; ///< Of run times, in milliseconds.
+        double meanEstimateRatio = 1; ///< Of run time over estimate.
+        double meanJobWork = 0; ///< Mean of jobs, in core-seconds.
+        int observations = 0;
     };
-    std::map<std::string, Learned> m_queues;
+    std::map<std::string, QueueStatistics> m_queues;
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -2,20 +2,20 @@
 
 #include "oleanderhall/jobs/jobprogress.h"
 #include "oleanderhall/jobs/jobspec.h"
-#include "oleanderhall/scheduling/actions.h"
 #include "oleanderhall/scheduling/arrivalrate.h"
 #include "oleanderhall/scheduling/callresult.h"
+#include "oleanderhall/scheduling/congestionwindow.h"
 #include "oleanderhall/scheduling/decision.h"
-#include "oleanderhall/scheduling/joborder.h"
-#include "oleanderhall/scheduling/jobrun.h"
-#include "oleanderhall/scheduling/orderwindow.h"
+#include "oleanderhall/scheduling/jobrank.h"
 #include "oleanderhall/scheduling/pooldemand.h"
 #include "oleanderhall/scheduling/queueload.h"
 #include "oleanderhall/scheduling/runtimemodel.h"
+#include "oleanderhall/scheduling/scheduleraction.h"
 #include "oleanderhall/scheduling/schedulersettings.h"
-#include "oleanderhall/scheduling/tickets.h"
-#include "oleanderhall/scheduling/workerlook.h"
+#include "oleanderhall/scheduling/ticketcache.h"
+#include "oleanderhall/scheduling/trackedjob.h"
 #include "oleanderhall/scheduling/workerstate.h"
+#include "oleanderhall/scheduling/workerstatus.h"
 
 #include <cstdint>
 #include <map>
@@ -38,27 +38,27 @@
     /// Takes the rules now in force; jobs of a queue that was removed keep the rule they came with.
     void setQueues(ConfigVersion version, const std::vector<QueueRule> &queues);
     /// Takes the complete list of workers from service discovery.
-    void listWorkers(const std::vector<WorkerReport> &workers, Instant now);
+    void setWorkers(const std::vector<WorkerInfo> &workers, Instant now);
     /// Takes a stored job that was accepted at `accepted`; `progress` is what is recorded of it. An
     /// inherited job may have been started by an earlier owner.
-    void accept(JobSpec spec, const JobProgress &progress, bool isInherited, Instant accepted);
+    void addJob(JobSpec spec, const JobProgress &progress, bool isInherited, Instant accepted);
     void cancel(JobId id, Instant now);
     /// Keeps new tasks off these workers and allows them on all others.
     void cordon(const std::set<WorkerId> &workers);
     /// Records that an order which ends everything on the worker is sent, or that it failed.
-    void setEnding(WorkerId worker, bool isEnding);
+    void setTerminating(WorkerId worker, bool isEnding);
     /// Records that a maintenance order has ended everything on the worker.
-    void workerEnded(WorkerId worker, Instant now);
+    void onWorkerTerminated(WorkerId worker, Instant now);
 
-    void startAnswered(const StartOrder &order, CallResult result, Instant now);
-    void stopAnswered(const StopOrder &order, CallResult result, Instant now);
-    void paceAnswered(const PaceOrder &order, CallResult result, Instant now);
+    void onStartResult(const StartCommand &order, CallResult result, Instant now);
+    void onStopResult(const StopCommand &order, CallResult result, Instant now);
+    void onCpuLimitResult(const CpuLimitCommand &order, CallResult result, Instant now);
     /// `look` is meaningful only with CallResult::Ok.
-    void lookAnswered(const LookOrder &order, CallResult result, const WorkerLook &look,
+    void onPollResult(const PollRequest &order, CallResult result, const WorkerStatus &look,
                       Instant sent, Instant now);
-    void adviceAnswered(const AdviceOrder &order, bool isAnswered,
+    void onAdviceResult(const AdviceRequest &order, bool isAnswered,
                         const std::vector<std::pair<WorkerId, std::string>> &tickets, Instant now);
-    void recordAnswered(std::uint64_t batch, bool isDurable, Instant now);
+    void onProgressWritten(std::uint64_t batch, bool isDurable, Instant now);
 
     /// Decides at `now`; `wallMs` is the time of day in milliseconds since 1970. While `mayOrder`
     /// is false, because ownership is in doubt, it only looks and extends leases.
@@ -71,7 +71,7 @@
     /// Returns how much each queue has waiting.
     std::vector<QueueLoad> queueLoads() const;
     const std::map<WorkerId, WorkerState> &workers() const { return m_workers; }
-    const std::map<JobId, JobRun> &jobs() const { return m_jobs; }
+    const std::map<JobId, TrackedJob> &jobs() const { return m_jobs; }
     /// Returns whether maintenance may end what runs on `worker`: only runs whose step can miss it.
     bool mayInterrupt(WorkerId worker) const;
     /// Stops long-running tasks of these workers one by one, as their steps' budgets allow.
@@ -80,16 +80,16 @@
     PoolDemands poolDemands(Instant now);
     /// Takes the workers that the platform lists in a pool. Until all of them were read, tasks that
     /// an earlier owner may have started there wait.
-    void expectWorkers(ServiceId pool, std::vector<WorkerId> workers);
+    void setExpectedWorkers(ServiceId pool, std::vector<WorkerId> workers);
     /// Takes the workers whose hosts are to be maintained soon: others are better for long runs.
-    void setDueSoon(std::set<WorkerId> workers) { m_dueSoon = std::move(workers); }
+    void setMaintenanceSoon(std::set<WorkerId> workers) { m_maintenanceSoon = std::move(workers); }
     /// Returns whether every worker that may run tasks of the pool has been read.
-    bool isRead(ServiceId pool) const;
+    bool isSynced(ServiceId pool) const;
 
 private:
     struct Candidate
     {
-        JobRun *job;
+        TrackedJob *job;
         Occurrence *occurrence;
         int step;
         JobRank rank;
@@ -100,90 +100,91 @@
     {
         int elsewhere = 0; ///< Certainly at work on other workers.
         int here = 0; ///< Certainly at work on this one.
-        int mayBeHere = 0; ///< Perhaps at work on this one.
+        int possiblyHere = 0; ///< Perhaps at work on this one.
     };
 
     // Events.
     WorkerState *answeringWorker(WorkerId id, CallResult result, Instant now);
-    std::pair<WorkerState *, WorkerRun *> takeAnswer(WorkerId id, const TaskId &task,
-                                                     std::int64_t number, CallResult result,
-                                                     Instant now);
-    void takeLook(WorkerState &worker, const WorkerLook &look, Instant sent, Instant now);
-    void takeRunning(WorkerState &worker, const RunningTask &row, Instant now);
-    void takeEnd(WorkerState &worker, const EndedTask &ended, Instant now);
-    void noteFailure(WorkerState &worker, JobRun &job, TaskRun &task, const TaskId &id,
-                     Instant now);
+    std::pair<WorkerState *, WorkerRun *> findCommandedRun(WorkerId id, const TaskId &task,
+                                                           std::int64_t number, CallResult result,
+                                                           Instant now);
+    void handleStatus(WorkerState &worker, const WorkerStatus &look, Instant sent, Instant now);
+    void handleActiveRun(WorkerState &worker, const ActiveRun &row, Instant now);
+    void handleEndedRun(WorkerState &worker, const EndedRun &ended, Instant now);
+    void handleFailure(WorkerState &worker, TrackedJob &job, TrackedTask &task, const TaskId &id,
+                       Instant now);
     void avoid(WorkerState &worker, const char *why, Instant now);
-    void endRuns(WorkerState &worker, const char *why, Instant now);
+    void dropAllRuns(WorkerState &worker, const char *why, Instant now);
     void removeRun(WorkerState &worker, std::size_t index);
-    void release(const WorkerRun &run, Instant now);
+    void unplace(const WorkerRun &run, Instant now);
     WorkerRun *findRun(WorkerState &worker, const TaskId &task, std::int64_t run);
     void requestStop(WorkerRun &run, Instant now);
-    void stopJob(JobRun &job, Instant now);
-    void finish(JobRun &job, JobState state, Instant now);
-    void makeDirty(JobRun &job);
-    void makeLazilyDirty(JobRun &job, Instant now);
-    TaskRun *findTask(const TaskId &id);
-    StepRun *findStep(const TaskId &id);
+    void stopJob(TrackedJob &job, Instant now);
+    void finish(TrackedJob &job, JobState state, Instant now);
+    void markDirty(TrackedJob &job);
+    void markLazilyDirty(TrackedJob &job, Instant now);
+    TrackedTask *findTask(const TaskId &id);
+    TrackedStep *findStep(const TaskId &id);
     const StepSpec *findSpec(const TaskId &id) const;
-    void decided(Decision decision);
+    void logDecision(Decision decision);
 
     // Steps of tick().
     void openOccurrences(std::int64_t wallMs);
-    void openOccurrence(JobRun &job, int number);
-    void finishIfComplete(JobRun &job, Instant now);
+    void openOccurrence(TrackedJob &job, int number);
+    void finishIfComplete(TrackedJob &job, Instant now);
     void expireLeases(Instant now);
     void findStalls(WorkerState &worker, Instant now);
-    void controlPace(WorkerState &worker, Instant now);
-    void sendOrders(WorkerState &worker, Instant now, std::vector<SchedulerAction> &out);
-    void sendLooks(WorkerState &worker, Instant now, std::vector<SchedulerAction> &out);
-    void record(Instant now, std::vector<SchedulerAction> &out);
-    void dropOld(Instant now);
+    void adjustCpuLimits(WorkerState &worker, Instant now);
+    void sendCommands(WorkerState &worker, Instant now, std::vector<SchedulerAction> &out);
+    void sendPoll(WorkerState &worker, Instant now, std::vector<SchedulerAction> &out);
+    void writeProgress(Instant now, std::vector<SchedulerAction> &out);
+    void expireOldJobs(Instant now);
 
     // Placement.
     void place(Instant now, std::vector<SchedulerAction> &out);
     void placePool(ServiceId pool, Instant now, std::vector<SchedulerAction> &out);
     std::vector<Candidate> candidates(ServiceId pool, Instant now);
     void placeStep(const Candidate &candidate, Instant now, std::vector<SchedulerAction> &out);
-    void askAdvice(const Candidate &candidate, Instant now, std::vector<SchedulerAction> &out);
-    bool placeTask(JobRun &job, Occurrence &occurrence, int step, int index, Instant now,
+    void requestAdvice(const Candidate &candidate, Instant now, std::vector<SchedulerAction> &out);
+    bool placeTask(TrackedJob &job, Occurrence &occurrence, int step, int index, Instant now,
                    std::vector<SchedulerAction> &out);
-    void placeGang(JobRun &job, Occurrence &occurrence, int step, Instant now,
+    void placeGang(TrackedJob &job, Occurrence &occurrence, int step, Instant now,
                    std::vector<SchedulerAction> &out);
-    WorkerState *chooseWorker(const JobRun &job, const Occurrence &occurrence, int step,
-                              const TaskRun &task, Instant now);
-    void startRun(WorkerState &worker, JobRun &job, const TaskId &id, std::int64_t run, Instant now,
-                  std::vector<SchedulerAction> &out);
-    StartOrder startOrder(WorkerState &worker, const JobRun &job, const WorkerRun &run,
-                          Instant now);
+    WorkerState *chooseWorker(const TrackedJob &job, const Occurrence &occurrence, int step,
+                              const TrackedTask &task, Instant now);
+    void startRun(WorkerState &worker, TrackedJob &job, const TaskId &id, std::int64_t run,
+                  Instant now, std::vector<SchedulerAction> &out);
+    StartCommand makeStartCommand(WorkerState &worker, const TrackedJob &job, const WorkerRun &run,
+                                  Instant now);
     StepPresence presenceOf(const TaskId &id, WorkerId here) const;
-    bool isReady(const JobRun &job, const Occurrence &occurrence, int step) const;
-    bool mayStart(const JobRun &job, const TaskRun &task, Instant now) const;
-    JobFacts factsOf(const JobRun &job, const Occurrence &occurrence, Instant now) const;
-    Millis remainingChain(const JobRun &job, const Occurrence &occurrence) const;
-    double remainingWork(const JobRun &job, const Occurrence &occurrence) const;
-    std::int64_t nextRun(std::int64_t last) const;
-    JobProgress progressOf(const JobRun &job) const;
+    bool isReady(const TrackedJob &job, const Occurrence &occurrence, int step) const;
+    bool mayStart(const TrackedJob &job, const TrackedTask &task, Instant now) const;
+    JobRankInputs rankInputsOf(const TrackedJob &job, const Occurrence &occurrence,
+                               Instant now) const;
+    Millis remainingCriticalPath(const TrackedJob &job, const Occurrence &occurrence) const;
+    double remainingWork(const TrackedJob &job, const Occurrence &occurrence) const;
+    std::int64_t nextRunNumber(std::int64_t last) const;
+    JobProgress progressOf(const TrackedJob &job) const;
 
     SchedulerSettings m_settings;
     std::int64_t m_generation;
-    Instant m_begun;
+    Instant m_termStart;
     ConfigVersion m_version;
     std::map<std::string, QueueRule> m_queues;
     std::map<WorkerId, WorkerState> m_workers;
-    std::map<JobId, JobRun> m_jobs;
+    std::map<JobId, TrackedJob> m_jobs;
     std::set<JobId> m_active; ///< Jobs that have not ended.
-    bool m_hasChanged = true;
-    Instant m_placed;
-    OrderWindow m_startWindow; ///< Of start orders without an answer.
+    bool m_needsPlacement = true;
+    Instant m_lastPlacement;
+    CongestionWindow m_startWindow; ///< Of start orders without an answer.
     ServiceId m_firstPool; ///< Whose tasks are placed first next time.
     RunTimeModel m_runTimes;
-    std::map<ServiceId, std::vector<WorkerId>> m_expected;
-    std::set<WorkerId> m_dueSoon;
+    std::map<ServiceId, std::vector<WorkerId>> m_expectedWorkers;
+    std::set<WorkerId> m_maintenanceSoon;
     std::map<ServiceId, ArrivalRate> m_arrivals; ///< Of work, in core-seconds a second.
-    Tickets m_tickets;
+    TicketCache m_tickets;
     std::set<JobId> m_dirty;
-    std::vector<JobId> m_expired; ///< Ended jobs whose records are to be dropped.
+    std::vector<JobId> m_expiredJobs; ///< Ended jobs whose records are to be dropped.
     std::uint64_t m_batch = 0;
     std::optional<std::uint64_t> m_batchInFlight;
     std::vector<JobId> m_batchJobs;
--- a/include/oleanderhall/scheduling/actions.h
+++ b/include/oleanderhall/scheduling/scheduleraction.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "oleanderhall/jobs/jobprogress.h"
-#include "oleanderhall/scheduling/workerreport.h"
+#include "oleanderhall/scheduling/workerinfo.h"
 
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
 namespace oleanderhall {
 
 /// Start a run of a task. Idempotent for the same run.
-struct StartOrder
+struct StartCommand
 {
     WorkerId worker;
     TaskId task;
@@ -19,11 +19,11 @@
     std::string payload;
     std::string checkpoint;
     std::string ticket;
-    Millis leaseEnd{0}; ///< On the worker's clock.
+    Millis leaseExpiry{0}; ///< On the worker's clock.
 };
 
 /// Stop a run; a run that is not there yet is turned away for good.
-struct StopOrder
+struct StopCommand
 {
     WorkerId worker;
     TaskId task;
@@ -31,7 +31,7 @@
 };
 
 /// Limit a run to a share of the processor.
-struct PaceOrder
+struct CpuLimitCommand
 {
     WorkerId worker;
     TaskId task;
@@ -40,16 +40,16 @@
 };
 
 /// Raise the fence, extend the lease of everything on the worker, read what runs and has ended.
-struct LookOrder
+struct PollRequest
 {
     WorkerId worker;
-    std::int64_t acknowledged = 0; ///< Ends up to this number are recorded and may be forgotten.
-    Millis leaseEnd{0}; ///< On the worker's clock; 0 leaves the lease as it is.
-    Millis wait{0}; ///< The answer may wait this long for an end.
+    std::int64_t acknowledgedEnd = 0; ///< Ends up to this number are recorded and may be forgotten.
+    Millis leaseExpiry{0}; ///< On the worker's clock; 0 leaves the lease as it is.
+    Millis maxWait{0}; ///< The answer may wait this long for an end.
 };
 
 /// Ask the queue's policy service which of the workers may run a step.
-struct AdviceOrder
+struct AdviceRequest
 {
     JobId job;
     int occurrence = 0;
@@ -58,14 +58,14 @@
 };
 
 /// Write the progress of jobs, and drop the records of old ones, in one transaction.
-struct RecordOrder
+struct ProgressWrite
 {
     std::uint64_t batch = 0;
     std::vector<JobProgress> updates;
     std::vector<JobId> dropped;
 };
 
-using SchedulerAction = std::variant<StartOrder, StopOrder, PaceOrder, LookOrder, AdviceOrder,
-                                     RecordOrder>;
+using SchedulerAction = std::variant<StartCommand, StopCommand, CpuLimitCommand, PollRequest,
+                                     AdviceRequest, ProgressWrite>;
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/jobrun.h
+++ b/include/oleanderhall/scheduling/trackedjob.h
@@ -4,7 +4,7 @@
 #include "oleanderhall/jobs/jobprogress.h"
 #include "oleanderhall/jobs/jobspec.h"
 #include "oleanderhall/jobs/jobstate.h"
-#include "oleanderhall/scheduling/workerreport.h"
+#include "oleanderhall/scheduling/workerinfo.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -14,11 +14,12 @@
 namespace oleanderhall {
 
 /// What the owner knows of one task.
-struct TaskRun
+struct TrackedTask
 {
     bool isDone = false;
     bool isPlaced = false; ///< A run of it exists or may exist.
-    bool mayRunUnseen = false; ///< An earlier owner may have started it where this one can't look.
+    bool mayRunOnUnsyncedWorker = false; ///< An earlier owner may have started it where this one
+                                         ///< can't look.
     int failures = 0;
     std::int64_t lastRun = 0; ///< The highest run number given out or seen.
     /// Runs whose end was noted. Workers are read in any order, so that an earlier run's end may
@@ -36,26 +37,26 @@
 };
 
 /// One step of one occurrence.
-struct StepRun
+struct TrackedStep
 {
-    std::vector<TaskRun> tasks;
-    int done = 0;
-    int placed = 0;
+    std::vector<TrackedTask> tasks;
+    int doneTasks = 0;
+    int placedTasks = 0;
     int gangFailures = 0;
-    std::int64_t gangRun = 0;
+    std::int64_t lastGangRun = 0;
 
-    bool isComplete() const { return done == static_cast<int>(tasks.size()); }
+    bool isComplete() const { return doneTasks == static_cast<int>(tasks.size()); }
 };
 
 /// One occurrence of a job; a job that runs once has one, due at once.
 struct Occurrence
 {
     int number = 0;
-    std::vector<StepRun> steps;
+    std::vector<TrackedStep> steps;
 };
 
 /// What the owner knows of one job.
-struct JobRun
+struct TrackedJob
 {
     JobSpec spec;
     JobState state = JobState::Queued;
@@ -63,14 +64,14 @@
     bool isInherited = false; ///< Accepted before this owner took over.
     bool isReleased = false; ///< It is to be recorded, or is recorded, that it may start.
     bool isReleaseInBatch = false; ///< The record under way says so.
-    bool mayStart = false; ///< That is recorded.
+    bool isReleaseRecorded = false; ///< That is recorded.
     Instant accepted;
     Instant ended;
     std::vector<Occurrence> occurrences;
-    std::vector<TaskProgress> inherited; ///< Recorded by earlier owners.
+    std::vector<TaskProgress> inheritedProgress; ///< Recorded by earlier owners.
     bool isDirty = false; ///< Its progress must be recorded at once.
     bool isLazilyDirty = false; ///< Its progress may be recorded with the next batch.
-    Instant lazySince;
+    Instant lazilyDirtySince;
     bool isRecorded = true; ///< The latest progress is durable.
 
     bool isLongRunning() const { return !spec.steps.empty() && spec.steps.front().isLongRunning; }
--- a/include/oleanderhall/scheduling/workerreport.h
+++ b/include/oleanderhall/scheduling/workerinfo.h
@@ -12,7 +12,7 @@
 using WorkerId = StrongId<struct WorkerTag>;
 
 /// What a worker's entry in service discovery says of it.
-struct WorkerReport
+struct WorkerInfo
 {
     WorkerId id;
     ServiceId pool;
@@ -30,7 +30,7 @@
         }
         return false;
     }
-    friend bool operator==(const WorkerReport &, const WorkerReport &) = default;
+    friend bool operator==(const WorkerInfo &, const WorkerInfo &) = default;
 };
 
 } // namespace oleanderhall
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -132,11 +132,11 @@
     ++worker.lives;
     const std::string id = "w" + std::to_string(index) + "-" + std::to_string(worker.lives);
     worker.life = std::make_shared<platform::StandinWorker>(m_io, id, m_promises);
-    const WorkerReport report{.id = WorkerId(id),
-                              .pool = ServiceId(index % 2 == 0 ? "pool-a" : "pool-b"),
-                              .address = addressAt(worker.port),
-                              .zone = ZoneId("z" + std::to_string(index % 2)),
-                              .capacity = {.milliCores = 8000, .memoryMb = 8192}};
+    const WorkerInfo report{.id = WorkerId(id),
+                            .pool = ServiceId(index % 2 == 0 ? "pool-a" : "pool-b"),
+                            .address = addressAt(worker.port),
+                            .zone = ZoneId("z" + std::to_string(index % 2)),
+                            .capacity = {.milliCores = 8000, .memoryMb = 8192}};
     m_table.put(platform::kWorkerTable, id, platform::encodeWorker(report));
 }
 
--- a/soak/promises.cpp
+++ b/soak/promises.cpp
@@ -101,13 +101,13 @@
     task.running[run] = worker;
 }
 
-void Promises::ended(const TaskId &id, std::int64_t run, RunEnd end)
+void Promises::ended(const TaskId &id, std::int64_t run, RunOutcome end)
 {
     Task &task = m_tasks[id];
     task.running.erase(run);
     task.ends[run] = end;
-    task.isDone = task.isDone || end == RunEnd::Done;
-    task.failures += end == RunEnd::Failed ? 1 : 0;
+    task.isDone = task.isDone || end == RunOutcome::Done;
+    task.failures += end == RunOutcome::Failed ? 1 : 0;
 }
 
 void Promises::endNoted(const TaskId &id, std::int64_t run)
@@ -116,8 +116,8 @@
     const auto end = task.ends.find(run);
     if (end == task.ends.end())
         return;
-    task.isDoneNoted = task.isDoneNoted || end->second == RunEnd::Done;
-    task.failuresNoted += end->second == RunEnd::Failed ? 1 : 0;
+    task.isDoneNoted = task.isDoneNoted || end->second == RunOutcome::Done;
+    task.failuresNoted += end->second == RunOutcome::Failed ? 1 : 0;
 }
 
 bool Promises::areAllOver() const
--- a/soak/promises.h
+++ b/soak/promises.h
@@ -29,7 +29,7 @@
 
     // What workers see.
     void started(const TaskId &task, std::int64_t run, const std::string &worker) override;
-    void ended(const TaskId &task, std::int64_t run, RunEnd end) override;
+    void ended(const TaskId &task, std::int64_t run, RunOutcome end) override;
     void endNoted(const TaskId &task, std::int64_t run) override;
 
     /// Checks, when all faults are over and time was left, that nothing is open.
@@ -52,7 +52,7 @@
     struct Task
     {
         std::map<std::int64_t, std::string> running; ///< Run and its worker.
-        std::map<std::int64_t, RunEnd> ends;
+        std::map<std::int64_t, RunOutcome> ends;
         bool isDone = false;
         bool isDoneNoted = false;
         int failures = 0;
--- a/src/maintenance/hostplanner.cpp
+++ b/src/maintenance/hostplanner.cpp
@@ -251,7 +251,7 @@
             / (state.coresPerHost * m_settings.fillShare);
         // One more than tasks must be spread over, while hosts of the pool are maintained.
         const int reserve = isMaintaining(pool) ? 1 : 0;
-        const int least = std::max(m_settings.leastHosts, demand.leastHosts + reserve);
+        const int least = std::max(m_settings.leastHosts, demand.minHosts + reserve);
         state.wanted = std::max(least, static_cast<int>(std::ceil(wanted)));
     }
     return states;
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -259,7 +259,7 @@
         if (m_owner && m_owner->isLoaded()) {
             web::json::value waiting = web::json::value::object();
             for (const QueueLoad &load : m_owner->loads())
-                waiting[load.queue] = web::json::value(load.waiting);
+                waiting[load.queue] = web::json::value(load.waitingJobs);
             record["waiting"] = waiting;
         }
         return record.serialize();
--- a/src/node/hostkeeper.cpp
+++ b/src/node/hostkeeper.cpp
@@ -134,7 +134,7 @@
     for (const HostOrder &order : orders) {
         const WorkerId worker = m_workers[order.host];
         m_intents[order.host] = time;
-        m_scheduler.setEnding(worker, true);
+        m_scheduler.setTerminating(worker, true);
         pending.emplace_back(order, worker);
     }
     web::json::value record = web::json::value::object();
@@ -197,12 +197,12 @@
     m_planner.takeHosts(hosts, now);
     for (const OrderedLives::Verdict &verdict : m_lives.judge(hosts, asked)) {
         if (verdict.hasEnded) {
-            m_scheduler.workerEnded(verdict.worker, now);
+            m_scheduler.onWorkerTerminated(verdict.worker, now);
             continue;
         }
         logInfo("host_order_was_done_before",
                 {{"host", verdict.host.name()}, {"worker", verdict.worker.name()}});
-        m_scheduler.setEnding(verdict.worker, false);
+        m_scheduler.setTerminating(verdict.worker, false);
     }
     m_workers.clear();
     std::map<ServiceId, std::vector<WorkerId>> expected;
@@ -214,7 +214,7 @@
             workers.push_back(host.worker);
     }
     for (auto &[pool, workers] : expected)
-        m_scheduler.expectWorkers(pool, std::move(workers));
+        m_scheduler.setExpectedWorkers(pool, std::move(workers));
 }
 
 void HostKeeper::noteState(const HostInfo &host)
@@ -238,12 +238,13 @@
         return {};
     constexpr double kMilli = 1000;
     const WorkerState &worker = found->second;
-    WorkerUse use{.isKnown = worker.isListed && worker.isRead && !worker.isEnding,
+    WorkerUse use{.isKnown = worker.isListed && worker.isSynced && !worker.isTerminating,
                   .isEmpty = worker.runs.empty(),
                   .mayInterrupt = m_scheduler.mayInterrupt(id)};
     for (const WorkerRun &run : worker.runs) {
         if (!run.isLongRunning)
-            use.batchCores += std::max(1.0, static_cast<double>(run.need.milliCores) / kMilli);
+            use.batchCores += std::max(1.0,
+                                       static_cast<double>(run.reservation.milliCores) / kMilli);
     }
     return use;
 }
@@ -263,7 +264,7 @@
     const HostPlanner::Plan plan = m_planner.plan(
         m_scheduler.poolDemands(now), [this](WorkerId worker) { return useOf(worker); }, now);
     m_scheduler.cordon(plan.cordoned);
-    m_scheduler.setDueSoon(plan.dueSoon);
+    m_scheduler.setMaintenanceSoon(plan.dueSoon);
     m_scheduler.evacuate(plan.evacuated, now);
     announce(plan.orders, now);
     for (const auto &[wave, isCompleted] : plan.waveStates)
@@ -301,7 +302,7 @@
     if (result == HostOrderResult::Done)
         m_lives.orderDone(order.host, worker, now); // the next list tells whether it ended just now
     else
-        m_scheduler.setEnding(worker, false);
+        m_scheduler.setTerminating(worker, false);
 }
 
 void HostKeeper::publish()
--- a/src/node/owner.cpp
+++ b/src/node/owner.cpp
@@ -23,7 +23,7 @@
 SchedulerSettings schedulerSettings(const NodeSettings &settings)
 {
     SchedulerSettings result;
-    result.stopTime = settings.stopTime;
+    result.stopTimeout = settings.stopTime;
     result.statusLifetime = settings.statusLifetime;
     return result;
 }
@@ -98,7 +98,7 @@
 std::string Owner::addressOf(WorkerId worker) const
 {
     const auto found = m_scheduler.workers().find(worker);
-    return found == m_scheduler.workers().end() ? std::string() : found->second.report.address;
+    return found == m_scheduler.workers().end() ? std::string() : found->second.info.address;
 }
 
 void Owner::wake()
@@ -142,8 +142,8 @@
 {
     for (const Decision &decision : m_scheduler.takeDecisions()) {
         m_metrics.count(std::string("decisions_") + decision.event + "_total");
-        if (decision.took)
-            m_metrics.observe(std::string(decision.event) + "_seconds", *decision.took);
+        if (decision.duration)
+            m_metrics.observe(std::string(decision.event) + "_seconds", *decision.duration);
         logFields(decision.event, decision.isWarning, decision.fields);
     }
 }
@@ -154,7 +154,7 @@
         std::visit([this](const auto &order) { send(order); }, action);
 }
 
-void Owner::send(const StartOrder &order)
+void Owner::send(const StartCommand &order)
 {
     m_workers.start(addressOf(order.worker), order,
                     [weak = weak_from_this(), order](CallResult result) {
@@ -162,12 +162,12 @@
                         if (!self || self->m_isStopped)
                             return;
                         self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-                        self->m_scheduler.startAnswered(order, result, bootNow());
+                        self->m_scheduler.onStartResult(order, result, bootNow());
                         self->wake();
                     });
 }
 
-void Owner::send(const StopOrder &order)
+void Owner::send(const StopCommand &order)
 {
     m_workers.stop(addressOf(order.worker), order,
                    [weak = weak_from_this(), order](CallResult result) {
@@ -175,38 +175,38 @@
                        if (!self || self->m_isStopped)
                            return;
                        self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-                       self->m_scheduler.stopAnswered(order, result, bootNow());
+                       self->m_scheduler.onStopResult(order, result, bootNow());
                        self->wake();
                    });
 }
 
-void Owner::send(const PaceOrder &order)
+void Owner::send(const CpuLimitCommand &order)
 {
     m_workers.pace(addressOf(order.worker), order,
                    [weak = weak_from_this(), order](CallResult result) {
                        const auto self = weak.lock();
                        if (!self || self->m_isStopped)
                            return;
-                       self->m_scheduler.paceAnswered(order, result, bootNow());
+                       self->m_scheduler.onCpuLimitResult(order, result, bootNow());
                        self->wake();
                    });
 }
 
-void Owner::send(const LookOrder &order)
+void Owner::send(const PollRequest &order)
 {
-    m_workers.look(
-        addressOf(order.worker), order,
-        [weak = weak_from_this(), order](CallResult result, const WorkerLook &look, Instant sent) {
-            const auto self = weak.lock();
-            if (!self || self->m_isStopped)
-                return;
-            self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-            self->m_scheduler.lookAnswered(order, result, look, sent, bootNow());
-            self->wake();
-        });
+    m_workers.look(addressOf(order.worker), order,
+                   [weak = weak_from_this(), order](CallResult result, const WorkerStatus &look,
+                                                    Instant sent) {
+                       const auto self = weak.lock();
+                       if (!self || self->m_isStopped)
+                           return;
+                       self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
+                       self->m_scheduler.onPollResult(order, result, look, sent, bootNow());
+                       self->wake();
+                   });
 }
 
-void Owner::send(const AdviceOrder &order)
+void Owner::send(const AdviceRequest &order)
 {
     if (!m_advice)
         return;
@@ -216,14 +216,14 @@
                       const auto self = weak.lock();
                       if (!self || self->m_isStopped)
                           return;
-                      self->m_scheduler.adviceAnswered(
+                      self->m_scheduler.onAdviceResult(
                           order, tickets.has_value(),
                           tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
                       self->wake();
                   });
 }
 
-void Owner::send(const RecordOrder &order)
+void Owner::send(const ProgressWrite &order)
 {
     struct Batch
     {
@@ -269,8 +269,8 @@
                              self->recorded(part, updates, result);
                              if (--self->m_recordsInFlight > 0)
                                  return;
-                             self->m_scheduler.recordAnswered(number, self->m_areRecordsDone,
-                                                              bootNow());
+                             self->m_scheduler.onProgressWritten(number, self->m_areRecordsDone,
+                                                                 bootNow());
                              self->wake();
                          });
     }
--- a/src/node/owner.h
+++ b/src/node/owner.h
@@ -52,12 +52,12 @@
     void takeWorkers(const platform::ReadResult &result);
     void readWorkers();
     void carryOut(std::vector<SchedulerAction> &actions);
-    void send(const StartOrder &order);
-    void send(const StopOrder &order);
-    void send(const PaceOrder &order);
-    void send(const LookOrder &order);
-    void send(const AdviceOrder &order);
-    void send(const RecordOrder &order);
+    void send(const StartCommand &order);
+    void send(const StopCommand &order);
+    void send(const CpuLimitCommand &order);
+    void send(const PollRequest &order);
+    void send(const AdviceRequest &order);
+    void send(const ProgressWrite &order);
     void recorded(int part, const std::vector<JobProgress> &updates,
                   const platform::TransactionResult &result);
     void wake();
--- a/src/node/ownerloading.cpp
+++ b/src/node/ownerloading.cpp
@@ -139,13 +139,13 @@
         const JobProgress progress = known == m_progress.end()
             ? JobProgress{.id = key->id, .isReleased = spec->isReleased}
             : known->second;
-        m_scheduler.accept(std::move(*spec), progress, isFirst, now - age);
+        m_scheduler.addJob(std::move(*spec), progress, isFirst, now - age);
         m_progress.erase(key->id);
     }
     // Ended jobs have no spec any more; they are kept until their state need not be told.
     for (const auto &[id, record] : m_progress) {
         if (isFinal(record.state))
-            m_scheduler.accept({.id = id, .acceptedMs = record.acceptedMs}, record, true, now);
+            m_scheduler.addJob({.id = id, .acceptedMs = record.acceptedMs}, record, true, now);
     }
     m_progress.clear();
     for (const JobId id : cancelled)
@@ -176,7 +176,7 @@
 {
     if (!result.isAnswered)
         return; // the last list stays; a worker that is gone does not answer
-    std::vector<WorkerReport> workers;
+    std::vector<WorkerInfo> workers;
     for (const platform::TableRow &row : result.rows) {
         try {
             workers.push_back(platform::decodeWorker(row.key, row.value));
@@ -184,7 +184,7 @@
             logWarning("worker_entry_unreadable", {{"key", row.key}, {"reason", error.what()}});
         }
     }
-    m_scheduler.listWorkers(workers, bootNow());
+    m_scheduler.setWorkers(workers, bootNow());
     m_areWorkersListed = true;
     wake();
 }
--- a/src/scheduling/arrivalrate.cpp
+++ b/src/scheduling/arrivalrate.cpp
@@ -7,19 +7,19 @@
 double ArrivalRate::decayed(Instant now) const
 {
     const std::chrono::duration<double> elapsed = now - m_updated;
-    const std::chrono::duration<double> memory = m_memory;
-    return m_weight * std::exp(-elapsed.count() / memory.count());
+    const std::chrono::duration<double> memory = m_timeConstant;
+    return m_decayedSum * std::exp(-elapsed.count() / memory.count());
 }
 
 void ArrivalRate::add(double amount, Instant now)
 {
-    m_weight = decayed(now) + amount;
+    m_decayedSum = decayed(now) + amount;
     m_updated = now;
 }
 
 double ArrivalRate::rate(Instant now) const
 {
-    const std::chrono::duration<double> memory = m_memory;
+    const std::chrono::duration<double> memory = m_timeConstant;
     return decayed(now) / memory.count();
 }
 
--- a/src/scheduling/callresult.cpp
+++ b/src/scheduling/callresult.cpp
@@ -11,17 +11,17 @@
         return "not_sent";
     case CallResult::Unknown:
         return "outcome_unknown";
-    case CallResult::OtherLife:
+    case CallResult::OtherIncarnation:
         return "other_life";
     case CallResult::Fenced:
         return "fenced";
     case CallResult::RunTooOld:
         return "run_too_old";
-    case CallResult::TooLate:
+    case CallResult::LeaseExpired:
         return "too_late";
-    case CallResult::NoRoom:
+    case CallResult::NoCapacity:
         return "no_room";
-    case CallResult::NoTicket:
+    case CallResult::TicketRejected:
         return "no_ticket";
     case CallResult::Unhealthy:
         return "unhealthy";
--- /dev/null
+++ b/src/scheduling/congestionwindow.cpp
@@ -0,0 +1,40 @@
+#include "oleanderhall/scheduling/congestionwindow.h"
+
+#include <algorithm>
+
+namespace oleanderhall {
+
+namespace {
+
+/// More than a quarter of the orders without an answer is more than a lost zone of four explains.
+constexpr std::size_t kCongestionDivisor = 4;
+
+} // namespace
+
+void CongestionWindow::onCompleted(bool wasAnswered)
+{
+    if (m_inFlight > 0)
+        --m_inFlight;
+    if (m_sentBeforeHalving > 0) {
+        --m_sentBeforeHalving; // it was sent under the larger window
+        return;
+    }
+    ++m_completed;
+    if (!wasAnswered) {
+        ++m_timedOut;
+    } else if (++m_answered >= (m_hasHalved ? m_size : 1)) {
+        m_answered = 0;
+        m_size = std::min(m_size + 1, kMaxSize);
+    }
+    if (m_completed < kSampleSize)
+        return;
+    if (m_timedOut * kCongestionDivisor > m_completed) {
+        m_size = std::max(m_size / 2, kMinSize);
+        m_hasHalved = true;
+        m_sentBeforeHalving = m_inFlight;
+    }
+    m_completed = 0;
+    m_timedOut = 0;
+}
+
+} // namespace oleanderhall
--- a/src/scheduling/leaseclock.cpp
+++ b/src/scheduling/leaseclock.cpp
@@ -4,39 +4,39 @@
 
 namespace oleanderhall {
 
-void LeaseClock::hear(Millis clock, Instant heard)
+void LeaseClock::observe(Millis clock, Instant heard)
 {
     // Answers on different connections may overtake each other: keep the one that is furthest on.
-    if (m_isKnown && clock < m_clock)
+    if (m_isKnown && clock < m_observedTime)
         return;
     m_isKnown = true;
-    m_clock = clock;
-    m_heard = heard;
+    m_observedTime = clock;
+    m_observedAt = heard;
 }
 
-Millis LeaseClock::latest(Instant now) const
+Millis LeaseClock::latestTime(Instant now) const
 {
-    return m_clock + std::chrono::duration_cast<Millis>(now - m_heard);
+    return m_observedTime + std::chrono::duration_cast<Millis>(now - m_observedAt);
 }
 
-void LeaseClock::grant(Millis end)
+void LeaseClock::recordGranted(Millis end)
 {
-    m_granted = std::max(m_granted, end);
+    m_grantedExpiry = std::max(m_grantedExpiry, end);
 }
 
-void LeaseClock::confirm(Millis end)
+void LeaseClock::recordConfirmed(Millis end)
 {
-    m_confirmed = std::max(m_confirmed, end);
+    m_confirmedExpiry = std::max(m_confirmedExpiry, end);
 }
 
-bool LeaseClock::hasLapsed(Instant now, Millis slack) const
+bool LeaseClock::allLeasesExpired(Instant now, Millis slack) const
 {
     if (!m_isKnown)
         return false;
-    const auto elapsed = std::chrono::duration<double, std::milli>(now - m_heard);
-    const auto earliest = m_clock
+    const auto elapsed = std::chrono::duration<double, std::milli>(now - m_observedAt);
+    const auto earliest = m_observedTime
         + Millis(static_cast<Millis::rep>(elapsed.count() * (1 - m_drift)));
-    return earliest > m_granted + slack;
+    return earliest > m_grantedExpiry + slack;
 }
 
 } // namespace oleanderhall
--- a/src/scheduling/runtimemodel.cpp
+++ b/src/scheduling/runtimemodel.cpp
@@ -6,31 +6,33 @@
 
 namespace {
 
-constexpr double kWeight = 0.05; // of a new observation, once the first ones are averaged
+constexpr double
+    kObservationWeight = 0.05; // of a new observation, once the first ones are averaged
 constexpr int kManyTasks = 4;
-constexpr double kMaxRatio = 10; // one absurd estimate must not spoil the mean
+constexpr double kMaxEstimateRatio = 10; // one absurd estimate must not spoil the mean
 
 } // namespace
 
 void RunTimeModel::observe(const std::string &queue, Millis estimate, Millis took)
 {
-    Learned &learned = m_queues[queue];
-    ++learned.seen;
-    const double weight = std::max(kWeight, 1.0 / learned.seen);
+    QueueStatistics &learned = m_queues[queue];
+    ++learned.observations;
+    const double weight = std::max(kObservationWeight, 1.0 / learned.observations);
     const auto milliseconds = static_cast<double>(took.count());
-    learned.mean += weight * (milliseconds - learned.mean);
+    learned.meanRunTimeMs += weight * (milliseconds - learned.meanRunTimeMs);
     const double ratio = milliseconds / std::max(1.0, static_cast<double>(estimate.count()));
-    learned.ratio += weight * (std::min(ratio, kMaxRatio) - learned.ratio);
+    learned.meanEstimateRatio += weight
+        * (std::min(ratio, kMaxEstimateRatio) - learned.meanEstimateRatio);
 }
 
 Millis RunTimeModel::expected(const std::string &queue, const StepSpec &step) const
 {
     const auto found = m_queues.find(queue);
-    if (found == m_queues.end() || found->second.seen == 0)
+    if (found == m_queues.end() || found->second.observations == 0)
         return step.estimate;
-    const Learned &learned = found->second;
-    const double told = static_cast<double>(step.estimate.count()) * learned.ratio;
-    return Millis(static_cast<Millis::rep>((told + learned.mean) / 2));
+    const QueueStatistics &learned = found->second;
+    const double told = static_cast<double>(step.estimate.count()) * learned.meanEstimateRatio;
+    return Millis(static_cast<Millis::rep>((told + learned.meanRunTimeMs) / 2));
 }
 
 Millis RunTimeModel::longest(const std::string &queue, const StepSpec &step) const
@@ -43,14 +45,15 @@
 
 void RunTimeModel::observeWork(const std::string &queue, double coreSeconds)
 {
-    Learned &learned = m_queues[queue];
-    learned.work += (learned.work == 0 ? 1 : kWeight) * (coreSeconds - learned.work);
+    QueueStatistics &learned = m_queues[queue];
+    learned.meanJobWork += (learned.meanJobWork == 0 ? 1 : kObservationWeight)
+        * (coreSeconds - learned.meanJobWork);
 }
 
 double RunTimeModel::meanWork(const std::string &queue) const
 {
     const auto found = m_queues.find(queue);
-    return found == m_queues.end() ? 0 : found->second.work;
+    return found == m_queues.end() ? 0 : found->second.meanJobWork;
 }
 
 } // namespace oleanderhall
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -16,7 +16,7 @@
 Scheduler::Scheduler(SchedulerSettings settings, std::int64_t generation, Instant now)
     : m_settings(settings)
     , m_generation(generation)
-    , m_begun(now)
+    , m_termStart(now)
 {}
 
 void Scheduler::setQueues(ConfigVersion version, const std::vector<QueueRule> &queues)
@@ -32,52 +32,52 @@
         if (found != m_queues.end() && job.spec.config <= version)
             job.spec.queue = found->second;
     }
-    m_hasChanged = true;
+    m_needsPlacement = true;
 }
 
-void Scheduler::listWorkers(const std::vector<WorkerReport> &workers, Instant now)
+void Scheduler::setWorkers(const std::vector<WorkerInfo> &workers, Instant now)
 {
     for (auto &[id, worker] : m_workers)
         worker.isListed = false;
-    for (const WorkerReport &report : workers) {
+    for (const WorkerInfo &report : workers) {
         auto found = m_workers.find(report.id);
         if (found == m_workers.end()) {
             found = m_workers.emplace(report.id, WorkerState(report, m_settings.clockDrift)).first;
-            found->second.lookDue = now;
-            decided({"worker_listed",
-                     {{"worker", report.id.name()},
-                      {"pool", report.pool.name()},
-                      {"address", report.address}}});
+            found->second.nextPoll = now;
+            logDecision({"worker_listed",
+                         {{"worker", report.id.name()},
+                          {"pool", report.pool.name()},
+                          {"address", report.address}}});
         }
         WorkerState &worker = found->second;
-        if (worker.report.isDraining != report.isDraining) {
-            decided({"worker_draining", {{"worker", report.id.name()}}});
+        if (worker.info.isDraining != report.isDraining) {
+            logDecision({"worker_draining", {{"worker", report.id.name()}}});
         }
-        worker.report = report;
+        worker.info = report;
         worker.isListed = true;
     }
     std::erase_if(m_workers, [](const auto &entry) {
         return !entry.second.isListed && entry.second.runs.empty()
-            && (entry.second.isOver || !entry.second.isRead);
+            && (entry.second.hasTerminated || !entry.second.isSynced);
     });
-    m_hasChanged = true;
+    m_needsPlacement = true;
 }
 
-void Scheduler::accept(JobSpec spec, const JobProgress &progress, bool isInherited,
+void Scheduler::addJob(JobSpec spec, const JobProgress &progress, bool isInherited,
                        Instant accepted)
 {
     const JobId id = spec.id;
     if (m_jobs.contains(id))
         return;
-    JobRun &job = m_jobs[id];
+    TrackedJob &job = m_jobs[id];
     job.spec = std::move(spec);
     job.state = progress.state;
     job.accepted = accepted;
     // An owner that does not know yet that it was replaced may start new jobs for a while, too.
-    job.isInherited = isInherited || accepted - m_begun < m_settings.overlap;
-    job.inherited = progress.tasks;
+    job.isInherited = isInherited || accepted - m_termStart < m_settings.takeoverOverlap;
+    job.inheritedProgress = progress.tasks;
     job.isReleased = progress.isReleased;
-    job.mayStart = progress.isReleased;
+    job.isReleaseRecorded = progress.isReleased;
     const auto rule = m_queues.find(job.spec.queue.name);
     if (rule != m_queues.end() && job.spec.config <= m_version)
         job.spec.queue = rule->second;
@@ -94,44 +94,44 @@
             m_arrivals[job.spec.queue.service].add(work, accepted);
         }
     }
-    decided({"job_accepted",
-             {{"job", textOf(id)},
-              {"queue", job.spec.queue.name},
-              {"steps", std::to_string(job.spec.steps.size())},
-              {"priority", std::to_string(job.spec.queue.priority)},
-              {"config", std::to_string(job.spec.config.value)},
-              {"long_running", job.isLongRunning() ? "true" : "false"},
-              {"inherited", isInherited ? "true" : "false"}}});
-    m_hasChanged = true;
+    logDecision({"job_accepted",
+                 {{"job", textOf(id)},
+                  {"queue", job.spec.queue.name},
+                  {"steps", std::to_string(job.spec.steps.size())},
+                  {"priority", std::to_string(job.spec.queue.priority)},
+                  {"config", std::to_string(job.spec.config.value)},
+                  {"long_running", job.isLongRunning() ? "true" : "false"},
+                  {"inherited", isInherited ? "true" : "false"}}});
+    m_needsPlacement = true;
 }
 
-void Scheduler::openOccurrence(JobRun &job, int number)
+void Scheduler::openOccurrence(TrackedJob &job, int number)
 {
     Occurrence occurrence{.number = number};
     for (const StepSpec &step : job.spec.steps) {
-        StepRun run;
+        TrackedStep run;
         run.tasks.resize(static_cast<std::size_t>(step.count));
-        for (TaskRun &task : run.tasks) {
-            task.mayRunUnseen = job.isInherited && job.isReleased;
+        for (TrackedTask &task : run.tasks) {
+            task.mayRunOnUnsyncedWorker = job.isInherited && job.isReleased;
             task.waitingSince = job.accepted;
         }
         occurrence.steps.push_back(std::move(run));
     }
-    for (const TaskProgress &known : job.inherited) {
+    for (const TaskProgress &known : job.inheritedProgress) {
         if (known.occurrence != number || known.step < 0
             || known.step >= static_cast<int>(occurrence.steps.size()))
             continue;
-        StepRun &step = occurrence.steps[static_cast<std::size_t>(known.step)];
+        TrackedStep &step = occurrence.steps[static_cast<std::size_t>(known.step)];
         if (known.index < 0 || known.index >= static_cast<int>(step.tasks.size()))
             continue;
-        TaskRun &task = step.tasks[static_cast<std::size_t>(known.index)];
+        TrackedTask &task = step.tasks[static_cast<std::size_t>(known.index)];
         task.failures = known.failures;
         task.endedRuns = known.endedRuns;
         for (const std::int64_t run : known.endedRuns)
             task.lastRun = std::max(task.lastRun, run);
         task.checkpoint = known.checkpoint;
         task.isDone = known.isDone;
-        step.done += known.isDone ? 1 : 0;
+        step.doneTasks += known.isDone ? 1 : 0;
         step.gangFailures = std::max(step.gangFailures, known.failures);
     }
     job.occurrences.push_back(std::move(occurrence));
@@ -140,13 +140,13 @@
 void Scheduler::openOccurrences(std::int64_t wallMs)
 {
     for (const JobId id : m_active) {
-        JobRun &job = m_jobs.at(id);
+        TrackedJob &job = m_jobs.at(id);
         while (static_cast<int>(job.occurrences.size()) < job.spec.occurrences) {
             const auto next = static_cast<int>(job.occurrences.size());
             if (wallMs < job.spec.firstDueMs + next * job.spec.intervalMs)
                 break;
             openOccurrence(job, next);
-            m_hasChanged = true;
+            m_needsPlacement = true;
         }
     }
 }
@@ -156,9 +156,9 @@
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end() || found->second.isCancelled || isFinal(found->second.state))
         return;
-    JobRun &job = found->second;
+    TrackedJob &job = found->second;
     job.isCancelled = true;
-    decided({"job_cancelled", {{"job", textOf(id)}, {"queue", job.spec.queue.name}}});
+    logDecision({"job_cancelled", {{"job", textOf(id)}, {"queue", job.spec.queue.name}}});
     finish(job, JobState::Cancelled, now);
 }
 
@@ -166,51 +166,51 @@
 {
     for (auto &[id, worker] : m_workers) {
         const bool isCordoned = workers.contains(id);
-        m_hasChanged = m_hasChanged || worker.isCordoned != isCordoned;
+        m_needsPlacement = m_needsPlacement || worker.isCordoned != isCordoned;
         worker.isCordoned = isCordoned;
     }
 }
 
-void Scheduler::setEnding(WorkerId worker, bool isEnding)
+void Scheduler::setTerminating(WorkerId worker, bool isEnding)
 {
     const auto found = m_workers.find(worker);
     if (found == m_workers.end())
         return;
-    found->second.isEnding = isEnding;
-    m_hasChanged = true;
+    found->second.isTerminating = isEnding;
+    m_needsPlacement = true;
 }
 
-void Scheduler::workerEnded(WorkerId worker, Instant now)
+void Scheduler::onWorkerTerminated(WorkerId worker, Instant now)
 {
     const auto found = m_workers.find(worker);
     if (found == m_workers.end())
         return;
-    found->second.isOver = true;
-    endRuns(found->second, "maintenance", now);
+    found->second.hasTerminated = true;
+    dropAllRuns(found->second, "maintenance", now);
 }
 
-void Scheduler::finish(JobRun &job, JobState state, Instant now)
+void Scheduler::finish(TrackedJob &job, JobState state, Instant now)
 {
     job.state = state;
     job.ended = now;
     m_active.erase(job.spec.id);
-    m_tickets.forget(job.spec.id);
+    m_tickets.removeJob(job.spec.id);
     stopJob(job, now);
-    makeDirty(job);
+    markDirty(job);
     const auto took = std::chrono::duration_cast<Millis>(now - job.accepted);
-    decided({"job_ended",
-             {{"job", textOf(job.spec.id)},
-              {"queue", job.spec.queue.name},
-              {"outcome",
-               state == JobState::Completed    ? "completed"
-                   : state == JobState::Failed ? "failed"
-                                               : "cancelled"},
-              {"took_ms", textOf(took)}},
-             false,
-             took});
+    logDecision({"job_ended",
+                 {{"job", textOf(job.spec.id)},
+                  {"queue", job.spec.queue.name},
+                  {"outcome",
+                   state == JobState::Completed    ? "completed"
+                       : state == JobState::Failed ? "failed"
+                                                   : "cancelled"},
+                  {"took_ms", textOf(took)}},
+                 false,
+                 took});
 }
 
-void Scheduler::stopJob(JobRun &job, Instant now)
+void Scheduler::stopJob(TrackedJob &job, Instant now)
 {
     for (auto &[id, worker] : m_workers) {
         for (WorkerRun &run : worker.runs) {
@@ -220,13 +220,13 @@
     }
 }
 
-void Scheduler::finishIfComplete(JobRun &job, Instant now)
+void Scheduler::finishIfComplete(TrackedJob &job, Instant now)
 {
     if (isFinal(job.state)
         || static_cast<int>(job.occurrences.size()) < std::max(1, job.spec.occurrences))
         return;
     for (const Occurrence &occurrence : job.occurrences) {
-        for (const StepRun &step : occurrence.steps) {
+        for (const TrackedStep &step : occurrence.steps) {
             if (!step.isComplete())
                 return;
         }
@@ -234,31 +234,31 @@
     finish(job, JobState::Completed, now);
 }
 
-void Scheduler::makeDirty(JobRun &job)
+void Scheduler::markDirty(TrackedJob &job)
 {
     job.isDirty = true;
     job.isRecorded = false;
     m_dirty.insert(job.spec.id);
 }
 
-void Scheduler::makeLazilyDirty(JobRun &job, Instant now)
+void Scheduler::markLazilyDirty(TrackedJob &job, Instant now)
 {
     if (!job.isDirty && !job.isLazilyDirty) {
         job.isLazilyDirty = true;
-        job.lazySince = now;
+        job.lazilyDirtySince = now;
     }
     m_dirty.insert(job.spec.id);
 }
 
-TaskRun *Scheduler::findTask(const TaskId &id)
+TrackedTask *Scheduler::findTask(const TaskId &id)
 {
-    StepRun *step = findStep(id);
+    TrackedStep *step = findStep(id);
     if (!step || id.index < 0 || id.index >= static_cast<int>(step->tasks.size()))
         return nullptr;
     return &step->tasks[static_cast<std::size_t>(id.index)];
 }
 
-StepRun *Scheduler::findStep(const TaskId &id)
+TrackedStep *Scheduler::findStep(const TaskId &id)
 {
     const auto found = m_jobs.find(id.job);
     if (found == m_jobs.end())
@@ -280,7 +280,7 @@
     return &found->second.spec.steps[static_cast<std::size_t>(id.step)];
 }
 
-void Scheduler::decided(Decision decision)
+void Scheduler::logDecision(Decision decision)
 {
     m_decisions.push_back(std::move(decision));
 }
@@ -294,11 +294,11 @@
 {
     std::map<std::string, QueueLoad> loads;
     for (const JobId id : m_active) {
-        const JobRun &job = m_jobs.at(id);
+        const TrackedJob &job = m_jobs.at(id);
         QueueLoad &load = loads[job.spec.queue.name];
         load.queue = job.spec.queue.name;
         if (job.state == JobState::Queued && job.spec.occurrences == 0)
-            ++load.waiting;
+            ++load.waitingJobs;
     }
     std::vector<QueueLoad> result;
     result.reserve(loads.size());
@@ -307,23 +307,24 @@
     return result;
 }
 
-bool Scheduler::isRead(ServiceId pool) const
+bool Scheduler::isSynced(ServiceId pool) const
 {
     const bool areListedRead = std::all_of(
         m_workers.begin(), m_workers.end(), [&](const auto &entry) {
             const WorkerState &worker = entry.second;
-            return worker.report.pool != pool || worker.isRead || worker.isOver;
+            return worker.info.pool != pool || worker.isSynced || worker.hasTerminated;
         });
     // A worker that is cut off may have lost its entry in service discovery and run on.
-    const auto expected = m_expected.find(pool);
-    return areListedRead && expected != m_expected.end()
+    const auto expected = m_expectedWorkers.find(pool);
+    return areListedRead && expected != m_expectedWorkers.end()
         && std::all_of(expected->second.begin(), expected->second.end(), [&](WorkerId id) {
                const auto found = m_workers.find(id);
-               return found != m_workers.end() && (found->second.isRead || found->second.isOver);
+               return found != m_workers.end()
+                   && (found->second.isSynced || found->second.hasTerminated);
            });
 }
 
-JobProgress Scheduler::progressOf(const JobRun &job) const
+JobProgress Scheduler::progressOf(const TrackedJob &job) const
 {
     JobProgress progress{.id = job.spec.id,
                          .state = job.state,
@@ -335,7 +336,7 @@
         for (std::size_t step = 0; step < occurrence.steps.size(); ++step) {
             const auto &tasks = occurrence.steps[step].tasks;
             for (std::size_t index = 0; index < tasks.size(); ++index) {
-                const TaskRun &task = tasks[index];
+                const TrackedTask &task = tasks[index];
                 if (!task.isDone && task.endedRuns.empty())
                     continue;
                 progress.tasks.push_back(
--- a/src/scheduling/schedulerbudget.cpp
+++ b/src/scheduling/schedulerbudget.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-constexpr int kAtWork = 100; // percent
+constexpr int kReadyPercent = 100; // percent
 
 } // namespace
 
@@ -17,8 +17,9 @@
             if (peer.task.job != id.job || peer.task.occurrence != id.occurrence
                 || peer.task.step != id.step)
                 continue;
-            const bool isAtWork = peer.phase == WorkerRun::Phase::Running && peer.percent >= kAtWork
-                && worker.failures == 0 && !worker.isEnding;
+            const bool isAtWork = peer.phase == WorkerRun::Phase::Running
+                && peer.progressPercent >= kReadyPercent && worker.failedPolls == 0
+                && !worker.isTerminating;
             if (workerId != here) {
                 presence.elsewhere += isAtWork ? 1 : 0;
                 continue;
@@ -26,7 +27,7 @@
             presence.here += isAtWork ? 1 : 0;
             // It may have got to work since the last look. What is being stopped counts as away: an
             // order of ours ends it.
-            presence.mayBeHere += peer.phase != WorkerRun::Phase::Stopping ? 1 : 0;
+            presence.possiblyHere += peer.phase != WorkerRun::Phase::Stopping ? 1 : 0;
         }
     }
     return presence;
@@ -36,18 +37,21 @@
 {
     for (const WorkerId id : workers) {
         const auto found = m_workers.find(id);
-        if (found == m_workers.end() || found->second.isEnding)
+        if (found == m_workers.end() || found->second.isTerminating)
             continue;
         for (WorkerRun &run : found->second.runs) {
             const StepSpec *spec = findSpec(run.task);
             if (!run.isLongRunning || !spec || run.phase != WorkerRun::Phase::Running)
                 continue;
             const StepPresence presence = presenceOf(run.task, id);
-            const int itself = run.percent >= kAtWork && found->second.failures == 0 ? 1 : 0;
+            const int itself = run.progressPercent >= kReadyPercent
+                    && found->second.failedPolls == 0
+                ? 1
+                : 0;
             const int others = presence.elsewhere + presence.here - itself;
             if (spec->mayMiss >= 0 && spec->count - others > spec->mayMiss)
                 continue;
-            decided({"run_evacuated", {{"task", textOf(run.task)}, {"worker", id.name()}}});
+            logDecision({"run_evacuated", {{"task", textOf(run.task)}, {"worker", id.name()}}});
             requestStop(run, now);
         }
     }
@@ -58,7 +62,7 @@
     const auto found = m_workers.find(id);
     if (found == m_workers.end())
         return true;
-    if (found->second.isEnding)
+    if (found->second.isTerminating)
         return false;
     for (const WorkerRun &run : found->second.runs) {
         const StepSpec *spec = findSpec(run.task);
@@ -68,7 +72,7 @@
             continue;
         // All that are here end together.
         const StepPresence presence = presenceOf(run.task, id);
-        if (presence.mayBeHere > 0 && spec->count - presence.elsewhere > spec->mayMiss)
+        if (presence.possiblyHere > 0 && spec->count - presence.elsewhere > spec->mayMiss)
             return false;
     }
     return true;
--- a/src/scheduling/schedulerevents.cpp
+++ b/src/scheduling/schedulerevents.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis kRoomRetry{300}; // for a worker that holds more than the owner thought
+constexpr Millis kCapacityRetryDelay{300}; // for a worker that holds more than the owner thought
 constexpr int kMaxAvoidDoublings = 4;
 
 } // namespace
@@ -21,23 +21,23 @@
     return nullptr;
 }
 
-void Scheduler::release(const WorkerRun &run, Instant now)
+void Scheduler::unplace(const WorkerRun &run, Instant now)
 {
-    TaskRun *task = findTask(run.task);
+    TrackedTask *task = findTask(run.task);
     if (!task || !task->isPlaced || task->lastRun != run.run)
         return;
     task->isPlaced = false;
     task->worker = {};
     task->waitingSince = now;
-    --findStep(run.task)->placed;
-    m_hasChanged = true;
+    --findStep(run.task)->placedTasks;
+    m_needsPlacement = true;
 }
 
 void Scheduler::removeRun(WorkerState &worker, std::size_t index)
 {
-    worker.used -= worker.runs[index].need;
+    worker.used -= worker.runs[index].reservation;
     worker.runs.erase(worker.runs.begin() + static_cast<std::ptrdiff_t>(index));
-    m_hasChanged = true;
+    m_needsPlacement = true;
 }
 
 void Scheduler::requestStop(WorkerRun &run, Instant now)
@@ -45,26 +45,26 @@
     if (run.phase == WorkerRun::Phase::Stopping)
         return;
     run.phase = WorkerRun::Phase::Stopping;
-    run.orderDue = now;
+    run.nextSend = now;
 }
 
-void Scheduler::endRuns(WorkerState &worker, const char *why, Instant now)
+void Scheduler::dropAllRuns(WorkerState &worker, const char *why, Instant now)
 {
     if (!worker.runs.empty()) {
-        decided({"runs_lost",
-                 {{"worker", worker.report.id.name()},
-                  {"reason", why},
-                  {"runs", std::to_string(worker.runs.size())}},
-                 true});
+        logDecision({"runs_lost",
+                     {{"worker", worker.info.id.name()},
+                      {"reason", why},
+                      {"runs", std::to_string(worker.runs.size())}},
+                     true});
     }
     for (const WorkerRun &run : worker.runs) {
-        if (TaskRun *task = findTask(run.task); task && !run.checkpoint.empty())
+        if (TrackedTask *task = findTask(run.task); task && !run.checkpoint.empty())
             task->checkpoint = run.checkpoint;
-        release(run, now);
+        unplace(run, now);
     }
     worker.runs.clear();
     worker.used = {};
-    m_hasChanged = true;
+    m_needsPlacement = true;
 }
 
 void Scheduler::avoid(WorkerState &worker, const char *why, Instant now)
@@ -72,13 +72,13 @@
     if (now < worker.avoidUntil)
         return;
     worker.avoidUntil = now
-        + m_settings.avoidTime * (1 << std::min(worker.relapses, kMaxAvoidDoublings));
-    ++worker.relapses;
-    decided({"worker_avoided",
-             {{"worker", worker.report.id.name()},
-              {"reason", why},
-              {"relapses", std::to_string(worker.relapses)}},
-             true});
+        + m_settings.avoidDuration * (1 << std::min(worker.timesAvoided, kMaxAvoidDoublings));
+    ++worker.timesAvoided;
+    logDecision({"worker_avoided",
+                 {{"worker", worker.info.id.name()},
+                  {"reason", why},
+                  {"relapses", std::to_string(worker.timesAvoided)}},
+                 true});
 }
 
 /// Returns the worker that an answer is from, or nothing when it is not known any more or over.
@@ -87,146 +87,150 @@
     const auto found = m_workers.find(id);
     if (found == m_workers.end())
         return nullptr;
-    if (result != CallResult::OtherLife)
+    if (result != CallResult::OtherIncarnation)
         return &found->second;
-    found->second.isOver = true;
-    endRuns(found->second, "another life answered", now);
+    found->second.hasTerminated = true;
+    dropAllRuns(found->second, "another life answered", now);
     return nullptr;
 }
 
 /// Returns the run that an answer is about, with its worker; no run when it is not known any more.
-std::pair<WorkerState *, WorkerRun *> Scheduler::takeAnswer(WorkerId id, const TaskId &task,
-                                                            std::int64_t number, CallResult result,
-                                                            Instant now)
+std::pair<WorkerState *, WorkerRun *> Scheduler::findCommandedRun(WorkerId id, const TaskId &task,
+                                                                  std::int64_t number,
+                                                                  CallResult result, Instant now)
 {
     WorkerState *worker = answeringWorker(id, result, now);
     WorkerRun *run = worker ? findRun(*worker, task, number) : nullptr;
     if (run)
-        run->isOrderInFlight = false;
+        run->isCommandInFlight = false;
     return {worker, run};
 }
 
-void Scheduler::startAnswered(const StartOrder &order, CallResult result, Instant now)
+void Scheduler::onStartResult(const StartCommand &order, CallResult result, Instant now)
 {
     if (!m_startWindow.isOpen())
-        m_hasChanged = true;
-    m_startWindow.ended(result != CallResult::Unknown && result != CallResult::NotSent);
-    const auto [answering, run] = takeAnswer(order.worker, order.task, order.run, result, now);
+        m_needsPlacement = true;
+    m_startWindow.onCompleted(result != CallResult::Unknown && result != CallResult::NotSent);
+    const auto [answering, run] = findCommandedRun(order.worker, order.task, order.run, result,
+                                                   now);
     if (!run)
         return;
     WorkerState &worker = *answering;
     if (result != CallResult::Ok) {
-        decided({"start_not_confirmed",
-                 {{"task", textOf(order.task)},
-                  {"run", std::to_string(order.run)},
-                  {"worker", order.worker.name()},
-                  {"result", nameOf(result)}}});
+        logDecision({"start_not_confirmed",
+                     {{"task", textOf(order.task)},
+                      {"run", std::to_string(order.run)},
+                      {"worker", order.worker.name()},
+                      {"result", nameOf(result)}}});
     }
     switch (result) {
     case CallResult::Ok:
-        worker.clock.confirm(order.leaseEnd);
+        worker.clock.recordConfirmed(order.leaseExpiry);
         if (run->phase == WorkerRun::Phase::Starting) {
             run->phase = WorkerRun::Phase::Running;
-            run->confirmed = now;
-            run->progressed = now;
+            run->runningSince = now;
+            run->lastProgress = now;
         }
         return;
     case CallResult::Unknown:
-        run->mayExist = true;
-        worker.lookDue = now; // one lost answer says little of the worker; the look tells
+        run->mayHaveStarted = true;
+        worker.nextPoll = now; // one lost answer says little of the worker; the look tells
         break;
     case CallResult::NotSent:
-        worker.lookDue = now;
-        worker.avoidUntil = std::max(worker.avoidUntil, now + kRoomRetry);
+        worker.nextPoll = now;
+        worker.avoidUntil = std::max(worker.avoidUntil, now + kCapacityRetryDelay);
         break;
     case CallResult::Unhealthy:
     case CallResult::Invalid:
         avoid(worker, nameOf(result), now);
         break;
-    case CallResult::NoRoom:
-        worker.avoidUntil = std::max(worker.avoidUntil, now + kRoomRetry);
-        worker.lookDue = now;
+    case CallResult::NoCapacity:
+        worker.avoidUntil = std::max(worker.avoidUntil, now + kCapacityRetryDelay);
+        worker.nextPoll = now;
         break;
-    case CallResult::NoTicket:
-        m_tickets.drop({order.task.job, order.task.occurrence, order.task.step}, order.worker);
+    case CallResult::TicketRejected:
+        m_tickets.removeTicket({order.task.job, order.task.occurrence, order.task.step},
+                               order.worker);
         break;
     case CallResult::RunTooOld:
-    case CallResult::TooLate:
+    case CallResult::LeaseExpired:
     case CallResult::Fenced:
-    case CallResult::OtherLife:
-        worker.lookDue = now;
+    case CallResult::OtherIncarnation:
+        worker.nextPoll = now;
         break;
     }
     if (run->phase != WorkerRun::Phase::Starting)
         return; // being stopped already
-    if (run->mayExist) {
-        if (run->tries < m_settings.startTries && result != CallResult::RunTooOld)
-            run->orderDue = now + m_settings.orderRetry;
+    if (run->mayHaveStarted) {
+        if (run->startAttempts < m_settings.maxStartAttempts && result != CallResult::RunTooOld)
+            run->nextSend = now + m_settings.commandRetryDelay;
         else
             requestStop(*run, now);
         return;
     }
     const WorkerRun ended = *run;
     removeRun(worker, static_cast<std::size_t>(run - worker.runs.data()));
-    release(ended, now);
+    unplace(ended, now);
 }
 
-void Scheduler::stopAnswered(const StopOrder &order, CallResult result, Instant now)
+void Scheduler::onStopResult(const StopCommand &order, CallResult result, Instant now)
 {
-    const auto [answering, run] = takeAnswer(order.worker, order.task, order.run, result, now);
+    const auto [answering, run] = findCommandedRun(order.worker, order.task, order.run, result,
+                                                   now);
     if (!run)
         return;
     WorkerState &worker = *answering;
     if (result == CallResult::Ok) {
         run->isStopConfirmed = true;
-        run->stopConfirmed = now;
-        worker.lookDue = std::min(worker.lookDue, now + m_settings.lookSpacing);
+        run->stopConfirmedAt = now;
+        worker.nextPoll = std::min(worker.nextPoll, now + m_settings.pollSpacing);
         return;
     }
-    run->orderDue = now + m_settings.orderRetry * (1 + std::min(worker.failures, 3));
+    run->nextSend = now + m_settings.commandRetryDelay * (1 + std::min(worker.failedPolls, 3));
 }
 
-void Scheduler::paceAnswered(const PaceOrder &order, CallResult result, Instant)
+void Scheduler::onCpuLimitResult(const CpuLimitCommand &order, CallResult result, Instant)
 {
     const auto found = m_workers.find(order.worker);
     if (found == m_workers.end())
         return;
     if (WorkerRun *run = findRun(found->second, order.task, order.run)) {
-        run->isPaceInFlight = false;
+        run->isCpuLimitInFlight = false;
         if (result == CallResult::Ok)
-            run->pace = order.percent;
+            run->cpuLimitPercent = order.percent;
     }
 }
 
-void Scheduler::lookAnswered(const LookOrder &order, CallResult result, const WorkerLook &look,
+void Scheduler::onPollResult(const PollRequest &order, CallResult result, const WorkerStatus &look,
                              Instant sent, Instant now)
 {
     WorkerState *answering = answeringWorker(order.worker, result, now);
     if (!answering)
         return;
     WorkerState &worker = *answering;
-    worker.isLookInFlight = false;
+    worker.isPollInFlight = false;
     if (result != CallResult::Ok) {
-        ++worker.failures;
+        ++worker.failedPolls;
         constexpr int kMaxBackoff = 4;
-        worker.lookDue = now + m_settings.orderRetry * std::min(worker.failures, kMaxBackoff);
-        decided({"look_failed",
-                 {{"worker", order.worker.name()},
-                  {"result", nameOf(result)},
-                  {"failures", std::to_string(worker.failures)},
-                  {"runs", std::to_string(worker.runs.size())}},
-                 true});
+        worker.nextPoll = now
+            + m_settings.commandRetryDelay * std::min(worker.failedPolls, kMaxBackoff);
+        logDecision({"look_failed",
+                     {{"worker", order.worker.name()},
+                      {"result", nameOf(result)},
+                      {"failures", std::to_string(worker.failedPolls)},
+                      {"runs", std::to_string(worker.runs.size())}},
+                     true});
         return;
     }
-    if (worker.failures > 0)
-        m_hasChanged = true;
-    worker.failures = 0;
-    worker.acknowledged = std::max(worker.acknowledged, order.acknowledged);
-    worker.clock.confirm(order.leaseEnd);
-    takeLook(worker, look, sent, now);
+    if (worker.failedPolls > 0)
+        m_needsPlacement = true;
+    worker.failedPolls = 0;
+    worker.lastAcknowledgedEnd = std::max(worker.lastAcknowledgedEnd, order.acknowledgedEnd);
+    worker.clock.recordConfirmed(order.leaseExpiry);
+    handleStatus(worker, look, sent, now);
 }
 
-void Scheduler::adviceAnswered(const AdviceOrder &order, bool isAnswered,
+void Scheduler::onAdviceResult(const AdviceRequest &order, bool isAnswered,
                                const std::vector<std::pair<WorkerId, std::string>> &tickets,
                                Instant now)
 {
@@ -234,12 +238,12 @@
     Millis lifetime{0};
     if (job != m_jobs.end() && job->second.spec.queue.advice)
         lifetime = job->second.spec.queue.advice->ticketLifetime;
-    m_tickets.answer({order.job, order.occurrence, order.step}, order.workers, isAnswered, tickets,
-                     now + lifetime);
-    m_hasChanged = true;
+    m_tickets.handleAnswer({order.job, order.occurrence, order.step}, order.workers, isAnswered,
+                           tickets, now + lifetime);
+    m_needsPlacement = true;
 }
 
-void Scheduler::recordAnswered(std::uint64_t batch, bool isDurable, Instant now)
+void Scheduler::onProgressWritten(std::uint64_t batch, bool isDurable, Instant now)
 {
     if (m_batchInFlight != batch)
         return;
@@ -249,11 +253,11 @@
         m_recordDue = now + kRecordRetry;
         for (const JobId id : m_batchJobs) {
             if (const auto found = m_jobs.find(id); found != m_jobs.end())
-                makeDirty(found->second);
+                markDirty(found->second);
         }
-        m_expired.insert(m_expired.end(), m_batchDropped.begin(), m_batchDropped.end());
+        m_expiredJobs.insert(m_expiredJobs.end(), m_batchDropped.begin(), m_batchDropped.end());
         for (auto &[id, worker] : m_workers)
-            worker.inBatch = 0;
+            worker.lastEndInBatch = 0;
         return;
     }
     for (const JobId id : m_batchJobs) {
@@ -261,16 +265,17 @@
         if (found == m_jobs.end())
             continue;
         // A release that was decided while the batch was under way is not in it.
-        found->second.mayStart = found->second.mayStart || found->second.isReleaseInBatch;
+        found->second.isReleaseRecorded = found->second.isReleaseRecorded
+            || found->second.isReleaseInBatch;
         if (!found->second.isDirty)
             found->second.isRecorded = true;
-        m_hasChanged = true;
+        m_needsPlacement = true;
     }
     for (const JobId id : m_batchDropped)
         m_jobs.erase(id);
     for (auto &[id, worker] : m_workers) {
-        worker.recorded = std::max(worker.recorded, worker.inBatch);
-        worker.inBatch = 0;
+        worker.lastRecordedEnd = std::max(worker.lastRecordedEnd, worker.lastEndInBatch);
+        worker.lastEndInBatch = 0;
     }
 }
 
--- a/src/scheduling/schedulerlooks.cpp
+++ b/src/scheduling/schedulerstatus.cpp
@@ -8,126 +8,127 @@
 namespace {
 
 /// The most ends that a worker lists in one answer (the platform's word); more may follow.
-constexpr std::size_t kEndsPerLook = 500;
-constexpr int kAtWork = 100; // percent
+constexpr std::size_t kMaxEndsPerStatus = 500;
+constexpr int kReadyPercent = 100; // percent
 // Filling runs are slowed before the target is passed and sped up again well below it.
-constexpr double kPaceDownAt = 0.85;
-constexpr double kPaceUpBelow = 0.6;
-constexpr int kPaceUpStep = 10;
-constexpr int kPaceFloor = 10;
-constexpr Millis kPaceSpacing{500}; // the worker's figure covers the last half second
+constexpr double kSlowDownAbove = 0.85;
+constexpr double kSpeedUpBelow = 0.6;
+constexpr int kSpeedUpStepPercent = 10;
+constexpr int kMinCpuLimitPercent = 10;
+constexpr Millis kCpuLimitInterval{500}; // the worker's figure covers the last half second
 
 } // namespace
 
-void Scheduler::takeLook(WorkerState &worker, const WorkerLook &look, Instant sent, Instant now)
+void Scheduler::handleStatus(WorkerState &worker, const WorkerStatus &look, Instant sent,
+                             Instant now)
 {
-    worker.clock.hear(look.clock, now);
-    if (!worker.isRead) {
-        worker.isRead = true;
+    worker.clock.observe(look.clock, now);
+    if (!worker.isSynced) {
+        worker.isSynced = true;
         // An earlier owner's leases may run on for as long as any lease.
-        worker.clock.grant(look.clock + m_settings.workerLease);
-        m_hasChanged = true;
+        worker.clock.recordGranted(look.clock + m_settings.workerLease);
+        m_needsPlacement = true;
     }
     std::set<std::pair<TaskId, std::int64_t>> present;
-    for (const RunningTask &row : look.running)
+    for (const ActiveRun &row : look.running)
         present.emplace(row.task, row.run);
-    for (const EndedTask &ended : look.ended)
-        takeEnd(worker, ended, now);
-    for (const RunningTask &row : look.running)
-        takeRunning(worker, row, now);
-    const bool isWhole = look.ended.size() < kEndsPerLook;
+    for (const EndedRun &ended : look.ended)
+        handleEndedRun(worker, ended, now);
+    for (const ActiveRun &row : look.running)
+        handleActiveRun(worker, row, now);
+    const bool isWhole = look.ended.size() < kMaxEndsPerStatus;
     for (std::size_t index = 0; isWhole && index < worker.runs.size();) {
         const WorkerRun run = worker.runs[index];
         const bool isGone = !present.contains({run.task, run.run})
-            && ((run.phase == WorkerRun::Phase::Running && run.confirmed < sent)
+            && ((run.phase == WorkerRun::Phase::Running && run.runningSince < sent)
                 || (run.phase == WorkerRun::Phase::Stopping && run.isStopConfirmed
-                    && run.stopConfirmed < sent));
+                    && run.stopConfirmedAt < sent));
         if (!isGone) {
             ++index;
             continue;
         }
         removeRun(worker, index);
-        release(run, now);
+        unplace(run, now);
     }
     findStalls(worker, now);
-    controlPace(worker, now);
+    adjustCpuLimits(worker, now);
     const bool hasNewEnds = !look.ended.empty();
-    worker.lookDue = hasNewEnds ? now + m_settings.lookSpacing : now;
+    worker.nextPoll = hasNewEnds ? now + m_settings.pollSpacing : now;
 }
 
-void Scheduler::takeRunning(WorkerState &worker, const RunningTask &row, Instant now)
+void Scheduler::handleActiveRun(WorkerState &worker, const ActiveRun &row, Instant now)
 {
     if (WorkerRun *known = findRun(worker, row.task, row.run)) {
         if (known->phase == WorkerRun::Phase::Starting) {
             known->phase = WorkerRun::Phase::Running;
-            known->confirmed = now;
-            known->progressed = now;
+            known->runningSince = now;
+            known->lastProgress = now;
         }
-        if (row.percent != known->percent)
-            known->progressed = now;
-        known->percent = row.percent;
+        if (row.progressPercent != known->progressPercent)
+            known->lastProgress = now;
+        known->progressPercent = row.progressPercent;
         known->checkpoint = row.checkpoint;
         known->recentLoad = row.recentLoad;
         return;
     }
     const StepSpec *spec = findSpec(row.task);
     const auto job = m_jobs.find(row.task.job);
-    TaskRun *task = findTask(row.task);
+    TrackedTask *task = findTask(row.task);
     WorkerRun run{.task = row.task, .run = row.run};
     run.phase = WorkerRun::Phase::Running;
-    run.confirmed = now;
-    run.progressed = now;
-    run.percent = row.percent;
+    run.runningSince = now;
+    run.lastProgress = now;
+    run.progressPercent = row.progressPercent;
     run.checkpoint = row.checkpoint;
     run.recentLoad = row.recentLoad;
     if (spec) {
-        run.need = spec->need;
+        run.reservation = spec->need;
         run.fills = spec->fills;
         run.isLongRunning = spec->isLongRunning;
         run.latencyTarget = spec->latencyTarget;
         if (run.fills)
-            run.need.milliCores = 0;
+            run.reservation.milliCores = 0;
     }
     const bool isWanted = task && job != m_jobs.end() && !isFinal(job->second.state)
         && !task->isDone && !task->isPlaced && !task->hasEnded(row.run);
     if (isWanted) {
         task->isPlaced = true;
-        task->worker = worker.report.id;
+        task->worker = worker.info.id;
         task->lastRun = std::max(task->lastRun, row.run);
-        StepRun *step = findStep(row.task);
-        ++step->placed;
-        step->gangRun = std::max(step->gangRun, row.run);
+        TrackedStep *step = findStep(row.task);
+        ++step->placedTasks;
+        step->lastGangRun = std::max(step->lastGangRun, row.run);
         if (job->second.state == JobState::Queued)
             job->second.state = JobState::Running;
     } else {
-        decided({"stray_run_stopped",
-                 {{"task", textOf(row.task)},
-                  {"run", std::to_string(row.run)},
-                  {"worker", worker.report.id.name()}},
-                 true});
+        logDecision({"stray_run_stopped",
+                     {{"task", textOf(row.task)},
+                      {"run", std::to_string(row.run)},
+                      {"worker", worker.info.id.name()}},
+                     true});
         requestStop(run, now);
     }
-    worker.used += run.need;
+    worker.used += run.reservation;
     worker.runs.push_back(std::move(run));
 }
 
-void Scheduler::takeEnd(WorkerState &worker, const EndedTask &ended, Instant now)
+void Scheduler::handleEndedRun(WorkerState &worker, const EndedRun &ended, Instant now)
 {
-    if (ended.number <= worker.noted)
+    if (ended.sequence <= worker.lastHandledEnd)
         return;
-    worker.noted = ended.number;
+    worker.lastHandledEnd = ended.sequence;
     Instant confirmed{};
     if (WorkerRun *run = findRun(worker, ended.task, ended.run)) {
         const WorkerRun copy = *run;
-        confirmed = copy.confirmed;
+        confirmed = copy.runningSince;
         removeRun(worker, static_cast<std::size_t>(run - worker.runs.data()));
-        release(copy, now);
+        unplace(copy, now);
     }
     const auto found = m_jobs.find(ended.task.job);
-    TaskRun *task = findTask(ended.task);
+    TrackedTask *task = findTask(ended.task);
     if (found == m_jobs.end() || !task || isFinal(found->second.state))
         return;
-    JobRun &job = found->second;
+    TrackedJob &job = found->second;
     if (task->isDone || task->hasEnded(ended.run))
         return;
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(ended.task.step)];
@@ -136,17 +137,17 @@
     task->lastRun = std::max(task->lastRun, ended.run);
     if (!ended.checkpoint.empty())
         task->checkpoint = ended.checkpoint;
-    decided({"run_ended",
-             {{"task", textOf(ended.task)},
-              {"run", std::to_string(ended.run)},
-              {"worker", worker.report.id.name()},
-              {"end", std::to_string(static_cast<int>(ended.end))}}});
-    if (ended.end == RunEnd::Done && !spec.isLongRunning) {
-        StepRun &step = *findStep(ended.task);
-        for (TaskRun &member : step.tasks) {
+    logDecision({"run_ended",
+                 {{"task", textOf(ended.task)},
+                  {"run", std::to_string(ended.run)},
+                  {"worker", worker.info.id.name()},
+                  {"end", std::to_string(static_cast<int>(ended.outcome))}}});
+    if (ended.outcome == RunOutcome::Done && !spec.isLongRunning) {
+        TrackedStep &step = *findStep(ended.task);
+        for (TrackedTask &member : step.tasks) {
             if (!member.isDone && (&member == task || spec.isGang)) {
                 member.isDone = true;
-                ++step.done;
+                ++step.doneTasks;
             }
         }
         if (task->isPlaced) {
@@ -161,28 +162,28 @@
             m_runTimes.observe(job.spec.queue.name, spec.estimate,
                                std::chrono::duration_cast<Millis>(now - confirmed));
         worker.lastFailedJob = {};
-        worker.relapses = 0;
-        m_hasChanged = true;
-        makeDirty(job);
+        worker.timesAvoided = 0;
+        m_needsPlacement = true;
+        markDirty(job);
         finishIfComplete(job, now);
         return;
     }
     if (spec.isLongRunning)
         return; // started again without limit; nothing needs to last
-    makeDirty(job);
-    if (ended.end == RunEnd::Failed)
-        noteFailure(worker, job, *task, ended.task, now);
+    markDirty(job);
+    if (ended.outcome == RunOutcome::Failed)
+        handleFailure(worker, job, *task, ended.task, now);
 }
 
-void Scheduler::noteFailure(WorkerState &worker, JobRun &job, TaskRun &task, const TaskId &id,
-                            Instant now)
+void Scheduler::handleFailure(WorkerState &worker, TrackedJob &job, TrackedTask &task,
+                              const TaskId &id, Instant now)
 {
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(id.step)];
     ++task.failures;
-    task.failedOn.push_back(worker.report.id);
+    task.failedOn.push_back(worker.info.id);
     int failures = task.failures;
     if (spec.isGang) {
-        StepRun &step = *findStep(id);
+        TrackedStep &step = *findStep(id);
         failures = ++step.gangFailures;
     }
     if (worker.lastFailedJob.value != 0 && worker.lastFailedJob != job.spec.id)
@@ -195,8 +196,9 @@
 void Scheduler::findStalls(WorkerState &worker, Instant now)
 {
     for (WorkerRun &run : worker.runs) {
-        if (run.phase != WorkerRun::Phase::Running || run.isLongRunning || run.percent >= kAtWork
-            || now - run.progressed < m_settings.stallTime)
+        if (run.phase != WorkerRun::Phase::Running || run.isLongRunning
+            || run.progressPercent >= kReadyPercent
+            || now - run.lastProgress < m_settings.stallTimeout)
             continue;
         const StepSpec *spec = findSpec(run.task);
         const auto job = m_jobs.find(run.task.job);
@@ -205,21 +207,21 @@
         // Progress comes in whole percents: a long task may take a while for one.
         constexpr int kPercents = 25;
         const Millis expected = m_runTimes.expected(job->second.spec.queue.name, *spec);
-        if (now - run.progressed < expected / kPercents + m_settings.stallTime)
+        if (now - run.lastProgress < expected / kPercents + m_settings.stallTimeout)
             continue;
-        decided({"run_stalled",
-                 {{"task", textOf(run.task)},
-                  {"worker", worker.report.id.name()},
-                  {"percent", std::to_string(run.percent)}},
-                 true});
+        logDecision({"run_stalled",
+                     {{"task", textOf(run.task)},
+                      {"worker", worker.info.id.name()},
+                      {"percent", std::to_string(run.progressPercent)}},
+                     true});
         requestStop(run, now);
-        if (TaskRun *task = findTask(run.task))
-            task->failedOn.push_back(worker.report.id);
+        if (TrackedTask *task = findTask(run.task))
+            task->failedOn.push_back(worker.info.id);
         avoid(worker, "a run stood still", now);
     }
 }
 
-void Scheduler::controlPace(WorkerState &worker, Instant now)
+void Scheduler::adjustCpuLimits(WorkerState &worker, Instant now)
 {
     double worst = 0; // tail latency of a serving run, as a share of its target
     bool hasFill = false;
@@ -230,15 +232,18 @@
                              static_cast<double>(run.recentLoad)
                                  / static_cast<double>(run.latencyTarget.count()));
     }
-    if (!hasFill || now < worker.paceDue || (worst <= kPaceDownAt && worst >= kPaceUpBelow))
+    if (!hasFill || now < worker.nextCpuLimitChange
+        || (worst <= kSlowDownAbove && worst >= kSpeedUpBelow))
         return;
-    worker.paceDue = now + kPaceSpacing;
+    worker.nextCpuLimitChange = now + kCpuLimitInterval;
     for (WorkerRun &run : worker.runs) {
         if (!run.fills)
             continue;
-        const int slower = run.wantedPace / 2 < kPaceFloor ? 0 : run.wantedPace / 2;
-        const int faster = std::min(100, run.wantedPace + kPaceUpStep);
-        run.wantedPace = worst > kPaceDownAt ? slower : faster;
+        const int slower = run.targetCpuLimitPercent / 2 < kMinCpuLimitPercent
+            ? 0
+            : run.targetCpuLimitPercent / 2;
+        const int faster = std::min(100, run.targetCpuLimitPercent + kSpeedUpStepPercent);
+        run.targetCpuLimitPercent = worst > kSlowDownAbove ? slower : faster;
     }
 }
 
--- a/src/scheduling/tickets.cpp
+++ b/src/scheduling/ticketcache.cpp
@@ -1,8 +1,8 @@
-#include "oleanderhall/scheduling/tickets.h"
+#include "oleanderhall/scheduling/ticketcache.h"
 
 namespace oleanderhall {
 
-std::string Tickets::find(const Step &step, WorkerId worker, Instant now) const
+std::string TicketCache::find(const StepKey &step, WorkerId worker, Instant now) const
 {
     const auto found = m_tickets.find({step, worker});
     if (found == m_tickets.end() || found->second.validUntil <= now)
@@ -10,16 +10,17 @@
     return found->second.text;
 }
 
-bool Tickets::isDenied(const Step &step, WorkerId worker) const
+bool TicketCache::isDenied(const StepKey &step, WorkerId worker) const
 {
     return m_denied.contains({step, worker});
 }
 
-void Tickets::answer(const Step &step, const std::vector<WorkerId> &asked, bool isAnswered,
-                     const std::vector<std::pair<WorkerId, std::string>> &tickets,
-                     Instant validUntil)
+void TicketCache::handleAnswer(const StepKey &step, const std::vector<WorkerId> &asked,
+                               bool isAnswered,
+                               const std::vector<std::pair<WorkerId, std::string>> &tickets,
+                               Instant validUntil)
 {
-    m_asking.erase(step);
+    m_pendingRequests.erase(step);
     if (!isAnswered)
         return;
     for (const WorkerId worker : asked)
@@ -30,16 +31,16 @@
     }
 }
 
-void Tickets::drop(const Step &step, WorkerId worker)
+void TicketCache::removeTicket(const StepKey &step, WorkerId worker)
 {
     m_tickets.erase({step, worker});
 }
 
-void Tickets::forget(JobId job)
+void TicketCache::removeJob(JobId job)
 {
     std::erase_if(m_tickets, [&](const auto &entry) { return entry.first.first.job == job; });
     std::erase_if(m_denied, [&](const auto &entry) { return entry.first.job == job; });
-    std::erase_if(m_asking, [&](const Step &step) { return step.job == job; });
+    std::erase_if(m_pendingRequests, [&](const StepKey &step) { return step.job == job; });
 }
 
 } // namespace oleanderhall
--- a/tests/maintenance/hostplanner_test.cpp
+++ b/tests/maintenance/hostplanner_test.cpp
@@ -232,7 +232,7 @@
     now += Millis(10000);
     const auto needs = [&] {
         return planner.plan(
-            {{kBusy, {.cores = 0, .leastHosts = 5}}, {kCalm, {.cores = 30}}},
+            {{kBusy, {.cores = 0, .minHosts = 5}}, {kCalm, {.cores = 30}}},
             [this](WorkerId worker) { return uses[worker]; }, now);
     };
     CHECK(moves(needs(), kBusy) == 1);
--- a/tests/platform/decoders_test.cpp
+++ b/tests/platform/decoders_test.cpp
@@ -67,7 +67,7 @@
 
 TEST_CASE("Discovery_wholeEntry_namesTheWorker", "[platform]")
 {
-    const WorkerReport worker = decodeWorker("i-1", kWorker);
+    const WorkerInfo worker = decodeWorker("i-1", kWorker);
     CHECK(worker.id.name() == "i-1");
     CHECK(worker.pool.name() == "huvo11a");
     CHECK(worker.capacity.milliCores == 16000);
@@ -135,14 +135,14 @@
 
 TEST_CASE("WorkerClient_look_readsRunsAndEnds", "[platform]")
 {
-    const WorkerLook look = decodeLook(kLook);
+    const WorkerStatus look = decodeLook(kLook);
     CHECK(look.clock == Millis(482113));
     REQUIRE(look.running.size() == 1);
-    CHECK(look.running[0].percent == 41);
+    CHECK(look.running[0].progressPercent == 41);
     CHECK(look.running[0].recentLoad == 120);
     REQUIRE(look.ended.size() == 1);
-    CHECK(look.ended[0].end == RunEnd::Done);
-    CHECK(look.ended[0].number == 58);
+    CHECK(look.ended[0].outcome == RunOutcome::Done);
+    CHECK(look.ended[0].sequence == 58);
     survivesDamage(kLook, [](const std::string &text) { decodeLook(text); });
 }
 
--- a/tests/scheduling/orderwindow_test.cpp
+++ b/tests/scheduling/congestionwindow_test.cpp
@@ -1,6 +1,6 @@
 // Pattern: an owner whose link is too small for its fleet has far more tasks to start than the link
 // carries within the time of an order, as after a loss of power.
-#include "oleanderhall/scheduling/orderwindow.h"
+#include "oleanderhall/scheduling/congestionwindow.h"
 
 #include <catch2/catch.hpp>
 
@@ -24,8 +24,8 @@
     int open = 0;
 
     bool isOpen() const { return open < size; }
-    void sent() { ++open; }
-    void ended(bool) { --open; }
+    void onSent() { ++open; }
+    void onCompleted(bool) { --open; }
 };
 
 /// Returns how many orders were answered within their time.
@@ -38,7 +38,7 @@
     for (int now = 0; now < kLengthMs; ++now) {
         while (left > 0 && window.isOpen()) {
             link.push_back(now);
-            window.sent();
+            window.onSent();
             --left;
         }
         if (now % kLinkMs != 0 || link.empty())
@@ -47,7 +47,7 @@
         const bool isInTime = now - link.front() <= kOrderTimeMs;
         link.pop_front();
         answered += isInTime ? 1 : 0;
-        window.ended(isInTime);
+        window.onCompleted(isInTime);
     }
     return answered;
 }
@@ -56,7 +56,7 @@
 
 TEST_CASE("OrderWindow_smallLinkAndManyTasks_mostOrdersAreAnsweredInTime", "[scheduler]")
 {
-    const int ours = startOver(OrderWindow());
+    const int ours = startOver(CongestionWindow());
     const int allAtOnce = startOver(FixedWindow{});
     const int large = startOver(FixedWindow{1024});
     INFO("ours " << ours << ", all at once " << allAtOnce << ", 1,024 at a time " << large
@@ -69,11 +69,11 @@
 
 TEST_CASE("OrderWindow_everyOrderAnswered_grows", "[scheduler]")
 {
-    OrderWindow window;
+    CongestionWindow window;
     const std::size_t first = window.size();
     for (int order = 0; order < 5000; ++order) {
-        window.sent();
-        window.ended(true);
+        window.onSent();
+        window.onCompleted(true);
     }
     CHECK(window.size() > first);
     CHECK(window.inFlight() == 0);
@@ -81,21 +81,21 @@
 
 TEST_CASE("OrderWindow_oneSilentWorkerOfMany_keepsItsSize", "[scheduler]")
 {
-    OrderWindow window;
+    CongestionWindow window;
     const std::size_t first = window.size();
     for (int order = 0; order < 1000; ++order) {
-        window.sent();
-        window.ended(order % 10 != 0);
+        window.onSent();
+        window.onCompleted(order % 10 != 0);
     }
     CHECK(window.size() >= first);
 }
 
 TEST_CASE("OrderWindow_nothingAnswered_staysOpenForSome", "[scheduler]")
 {
-    OrderWindow window;
+    CongestionWindow window;
     for (int order = 0; order < 5000; ++order) {
-        window.sent();
-        window.ended(false);
+        window.onSent();
+        window.onCompleted(false);
     }
     CHECK(window.isOpen());
     CHECK(window.size() > 0);
--- a/tests/scheduling/joborder_test.cpp
+++ b/tests/scheduling/jobrank_test.cpp
@@ -1,6 +1,6 @@
 // Pattern: a queue in its turn asks five times its mean, more than its pool holds, then a
 // twentieth.
-#include "oleanderhall/scheduling/joborder.h"
+#include "oleanderhall/scheduling/jobrank.h"
 
 #include <catch2/catch.hpp>
 
@@ -39,26 +39,26 @@
 
 using Order = std::function<JobRank(const LoadJob &, double now, double meanWork)>;
 
-JobFacts factsOf(const LoadJob &job, double now, double meanWork)
+JobRankInputs factsOf(const LoadJob &job, double now, double meanWork)
 {
     const auto millis = [](double value) { return Millis(static_cast<Millis::rep>(value * 1000)); };
     return {.stretch = 1.6,
             .allowance = Millis(600),
             .age = millis(now - job.arrives),
-            .wholeChain = millis(job.steps * job.length),
-            .chainLeft = millis((job.steps - job.stepsDone) * job.length),
-            .wholeWork = job.work(),
-            .workLeft = (job.steps - job.stepsDone) * job.tasks * job.length * job.cores,
+            .criticalPath = millis(job.steps * job.length),
+            .remainingCriticalPath = millis((job.steps - job.stepsDone) * job.length),
+            .totalWork = job.work(),
+            .remainingWork = (job.steps - job.stepsDone) * job.tasks * job.length * job.cores,
             .meanWork = meanWork};
 }
 
 JobRank firstCome(const LoadJob &job, double, double)
 {
-    return {.negatedDensity = job.arrives};
+    return {.negatedValueDensity = job.arrives};
 }
 JobRank shortestFirst(const LoadJob &job, double, double)
 {
-    return {.negatedDensity = job.work()};
+    return {.negatedValueDensity = job.work()};
 }
 JobRank ours(const LoadJob &job, double now, double meanWork)
 {
@@ -204,22 +204,24 @@
 
 TEST_CASE("JobOrder_longRunning_comesBeforeAll", "[load]")
 {
-    CHECK(rankOf({.isLongRunning = true, .priority = 9}) < rankOf({.priority = 0, .workLeft = 1}));
+    CHECK(rankOf({.isLongRunning = true, .priority = 9})
+          < rankOf({.priority = 0, .remainingWork = 1}));
 }
 
 TEST_CASE("JobOrder_priorities_comeBeforeWorth", "[load]")
 {
-    CHECK(rankOf({.priority = 0, .wholeWork = 100, .workLeft = 100, .meanWork = 1})
-          < rankOf({.priority = 1, .wholeWork = 1, .workLeft = 1, .meanWork = 1}));
+    CHECK(rankOf({.priority = 0, .totalWork = 100, .remainingWork = 100, .meanWork = 1})
+          < rankOf({.priority = 1, .totalWork = 1, .remainingWork = 1, .meanWork = 1}));
 }
 
 TEST_CASE("JobOrder_lateJob_comesAfterOneInTime", "[load]")
 {
-    const JobFacts inTime{.allowance = Millis(600), .wholeWork = 9, .workLeft = 9, .meanWork = 1};
-    JobFacts late = inTime;
+    const JobRankInputs inTime{
+        .allowance = Millis(600), .totalWork = 9, .remainingWork = 9, .meanWork = 1};
+    JobRankInputs late = inTime;
     late.age = Millis(900);
-    late.workLeft = 0.1;
-    JobFacts useless = late;
+    late.remainingWork = 0.1;
+    JobRankInputs useless = late;
     useless.age = Millis(9000);
     CHECK(rankOf(inTime) < rankOf(late));
     CHECK(rankOf(late) < rankOf(useless));
@@ -227,8 +229,9 @@
 
 TEST_CASE("JobOrder_begunJob_comesBeforeOneLikeItThatIsNot", "[load]")
 {
-    const JobFacts fresh{.allowance = Millis(9000), .wholeWork = 9, .workLeft = 9, .meanWork = 1};
-    JobFacts begun = fresh;
-    begun.workLeft = 4;
+    const JobRankInputs fresh{
+        .allowance = Millis(9000), .totalWork = 9, .remainingWork = 9, .meanWork = 1};
+    JobRankInputs begun = fresh;
+    begun.remainingWork = 4;
     CHECK(rankOf(begun) < rankOf(fresh));
 }
--- a/tests/scheduling/scheduler_property_test.cpp
+++ b/tests/scheduling/scheduler_property_test.cpp
@@ -56,8 +56,8 @@
             changeWorld(step);
             for (auto &[id, worker] : m_workers) {
                 worker.step(m_now);
-                for (const EndedTask &entry : worker.ended) {
-                    if (entry.end == RunEnd::Done)
+                for (const EndedRun &entry : worker.ended) {
+                    if (entry.outcome == RunOutcome::Done)
                         m_everDone.insert(entry.task);
                 }
             }
@@ -106,7 +106,7 @@
         stored.progress.isReleased = chance(0.5);
         m_store[stored.spec.id] = stored;
         for (auto &owner : m_owners)
-            owner->scheduler->accept(stored.spec, stored.progress, false, m_now);
+            owner->scheduler->addJob(stored.spec, stored.progress, false, m_now);
     }
 
     void cancelOne()
@@ -133,17 +133,17 @@
         auto owner = std::make_unique<Owner>();
         owner->token = ++m_token;
         owner->scheduler = std::make_unique<Scheduler>(SchedulerSettings{}, m_token - 1, m_now);
-        std::vector<WorkerReport> reports;
+        std::vector<WorkerInfo> reports;
         std::vector<WorkerId> expected;
         for (const auto &[id, worker] : m_workers) {
-            reports.push_back(worker.report);
-            if (worker.report.pool == ServiceId(kPool))
+            reports.push_back(worker.info);
+            if (worker.info.pool == ServiceId(kPool))
                 expected.push_back(id);
         }
-        owner->scheduler->listWorkers(reports, m_now);
-        owner->scheduler->expectWorkers(ServiceId(kPool), expected);
+        owner->scheduler->setWorkers(reports, m_now);
+        owner->scheduler->setExpectedWorkers(ServiceId(kPool), expected);
         for (const auto &[id, stored] : m_store) {
-            owner->scheduler->accept(stored.spec, stored.progress, true, m_now);
+            owner->scheduler->addJob(stored.spec, stored.progress, true, m_now);
             if (stored.isCancelled)
                 owner->scheduler->cancel(id, m_now);
         }
@@ -231,43 +231,43 @@
            [answer](Scheduler &scheduler) { answer(scheduler, CallResult::Unknown); });
     }
 
-    void send(Owner &owner, const StartOrder &order)
+    void send(Owner &owner, const StartCommand &order)
     {
         const std::int64_t token = owner.token;
         deliver(
             owner, order,
             [this, order, token](FakeWorker &worker) { return start(worker, order, token); },
             [this, order](Scheduler &scheduler, CallResult result) {
-                scheduler.startAnswered(order, result, m_now);
+                scheduler.onStartResult(order, result, m_now);
             });
     }
-    void send(Owner &owner, const StopOrder &order)
+    void send(Owner &owner, const StopCommand &order)
     {
         const std::int64_t token = owner.token;
         deliver(
             owner, order,
             [this, order, token](FakeWorker &worker) { return worker.stop(order, token, m_now); },
             [this, order](Scheduler &scheduler, CallResult result) {
-                scheduler.stopAnswered(order, result, m_now);
+                scheduler.onStopResult(order, result, m_now);
             });
     }
-    void send(Owner &owner, const LookOrder &order)
+    void send(Owner &owner, const PollRequest &order)
     {
         const std::int64_t token = owner.token;
-        auto look = std::make_shared<WorkerLook>();
+        auto look = std::make_shared<WorkerStatus>();
         const Instant sent = m_now;
         deliver(
             owner, order,
             [this, order, token, look](FakeWorker &worker) {
-                return worker.look(order, token, m_now, *look);
+                return worker.poll(order, token, m_now, *look);
             },
             [this, order, look, sent](Scheduler &scheduler, CallResult result) {
-                scheduler.lookAnswered(order, result, *look, sent, m_now);
+                scheduler.onPollResult(order, result, *look, sent, m_now);
             });
     }
-    void send(Owner &, const PaceOrder &) {}
-    void send(Owner &, const AdviceOrder &) {}
-    void send(Owner &owner, const RecordOrder &order)
+    void send(Owner &, const CpuLimitCommand &) {}
+    void send(Owner &, const AdviceRequest &) {}
+    void send(Owner &owner, const ProgressWrite &order)
     {
         const bool isDone = owner.isCurrent && chance(0.95);
         if (isDone) {
@@ -277,16 +277,16 @@
                     const TaskId id{update.id, task.occurrence, task.step, task.index};
                     m_failed[id] = task.failures;
                     if (task.isDone)
-                        m_noted[id].insert(RunEnd::Done);
+                        m_noted[id].insert(RunOutcome::Done);
                 }
             }
         }
         at(m_now + 4 * kTravel, owner, [this, order, isDone](Scheduler &scheduler) {
-            scheduler.recordAnswered(order.batch, isDone, m_now);
+            scheduler.onProgressWritten(order.batch, isDone, m_now);
         });
     }
 
-    CallResult start(FakeWorker &worker, const StartOrder &order, std::int64_t token)
+    CallResult start(FakeWorker &worker, const StartCommand &order, std::int64_t token)
     {
         const auto stored = m_store.find(order.task.job);
         if (stored == m_store.end()) {
@@ -301,12 +301,12 @@
         const Millis length(pick(50, 900));
         worker.needs[order.task] = {.milliCores = 1000};
         const CallResult result = worker.start(order, token, m_now, m_now + length,
-                                               fails ? RunEnd::Failed : RunEnd::Done);
+                                               fails ? RunOutcome::Failed : RunOutcome::Done);
         if (result != CallResult::Ok || wasThere)
             return result;
         ++starts;
         for (const auto &[other, peer] : m_workers) {
-            if (other != worker.report.id && peer.runs(order.task))
+            if (other != worker.info.id && peer.runs(order.task))
                 violations.push_back(
                     id + ": two runs at once, beside run " + std::to_string(peer.runOf(order.task))
                     + (peer.isReachable ? "" : " cut off") + ", ordered by token "
@@ -315,11 +315,11 @@
                         std::chrono::duration_cast<Millis>(m_now - m_takenOver).count())
                     + " ms after the take-over");
         }
-        if (worker.used().milliCores > worker.report.capacity.milliCores)
+        if (worker.used().milliCores > worker.info.capacity.milliCores)
             violations.push_back(id + ": more than the worker holds");
-        if (worker.report.pool != ServiceId(kPool))
+        if (worker.info.pool != ServiceId(kPool))
             violations.push_back(id + ": on a worker of another pool");
-        if (m_noted[order.task].contains(RunEnd::Done))
+        if (m_noted[order.task].contains(RunOutcome::Done))
             violations.push_back(id + ": started after its end was noted");
         // An order that was sent in time and carried out late can't be helped; it is stopped.
         if (isFinal(stored->second.progress.state) && token == m_token && !m_isCarriedOutLate)
@@ -349,7 +349,7 @@
     std::map<WorkerId, FakeWorker> m_workers;
     std::map<JobId, Stored> m_store;
     std::map<JobId, Instant> m_cancelled;
-    std::map<TaskId, std::set<RunEnd>> m_noted;
+    std::map<TaskId, std::set<RunOutcome>> m_noted;
     std::map<TaskId, int> m_failed;
     std::set<TaskId> m_everDone;
     std::multimap<Instant, std::pair<std::int64_t, std::function<void(Scheduler &)>>> m_due;
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -7,15 +7,15 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_workersNotRead_startsNothing", "[scheduler]")
 {
     submit(makeJob(1, "pool", {makeStep(2, Millis(100))}));
-    CHECK(tick<StartOrder>().empty());
+    CHECK(tick<StartCommand>().empty());
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_jobAccepted_startsEveryTaskOnce", "[scheduler]")
 {
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(3, Millis(100))}));
-    CHECK(tick<StartOrder>().size() == 3);
-    CHECK(tick<StartOrder>().empty());
+    CHECK(tick<StartCommand>().size() == 3);
+    CHECK(tick<StartCommand>().empty());
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_inheritedTaskAndUnlistedWorkerExpected_waits",
@@ -23,16 +23,16 @@
 {
     // A cut-off worker may lose its entry and run on (TWICE, cal scale-1).
     Scheduler successor(SchedulerSettings{}, 1, now);
-    successor.listWorkers({makeWorker("w1", "pool", 8000)}, now);
-    successor.expectWorkers(ServiceId("pool"), {w1, w2});
+    successor.setWorkers({makeWorker("w1", "pool", 8000)}, now);
+    successor.setExpectedWorkers(ServiceId("pool"), {w1, w2});
     const JobSpec job = makeJob(1, "pool", {makeStep(1, Millis(100))});
-    successor.accept(job, {.id = job.id, .isReleased = true}, true, now);
+    successor.addJob(job, {.id = job.id, .isReleased = true}, true, now);
     int starts = 0;
     const auto count = [&](const std::vector<SchedulerAction> &actions) {
         for (const SchedulerAction &action : actions) {
-            starts += std::holds_alternative<StartOrder>(action) ? 1 : 0;
-            if (const auto *look = std::get_if<LookOrder>(&action))
-                successor.lookAnswered(*look, CallResult::Ok, {.clock = Millis(1)}, now, now);
+            starts += std::holds_alternative<StartCommand>(action) ? 1 : 0;
+            if (const auto *look = std::get_if<PollRequest>(&action))
+                successor.onPollResult(*look, CallResult::Ok, {.clock = Millis(1)}, now, now);
         }
     };
     for (int step = 0; step < 60; ++step) {
@@ -40,7 +40,7 @@
         advance(Millis(100));
     }
     CHECK(starts == 0);
-    advance(SchedulerSettings{}.inheritedWait);
+    advance(SchedulerSettings{}.inheritedTaskDelay);
     count(successor.tick(now, 0));
     CHECK(starts == 1);
 }
@@ -49,17 +49,17 @@
                  "[scheduler]")
 {
     // A new owner reads workers in any order (BUDGET, cal trouble-1).
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
-    const std::vector<StartOrder> starts = tick<StartOrder>();
+    const std::vector<StartCommand> starts = tick<StartCommand>();
     REQUIRE(starts.size() == 1);
     confirm(starts);
     const TaskId task = starts[0].task;
-    LookOrder look = nextLook(starts[0].worker);
-    answerLook(look, {}, {{.number = 1, .task = task, .run = 12, .end = RunEnd::Failed}});
-    look = nextLook(starts[0].worker);
-    answerLook(look, {}, {{.number = 2, .task = task, .run = 11, .end = RunEnd::Failed}});
-    const JobRun &job = scheduler.jobs().at({1});
+    PollRequest look = nextPoll(starts[0].worker);
+    answerPoll(look, {}, {{.sequence = 1, .task = task, .run = 12, .outcome = RunOutcome::Failed}});
+    look = nextPoll(starts[0].worker);
+    answerPoll(look, {}, {{.sequence = 2, .task = task, .run = 11, .outcome = RunOutcome::Failed}});
+    const TrackedJob &job = scheduler.jobs().at({1});
     CHECK(job.occurrences[0].steps[0].tasks[0].failures == 2);
 }
 
@@ -67,17 +67,17 @@
                  "[scheduler]")
 {
     // A crashed worker's runs were never given up (LOST, sui scale-1).
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
-    const std::vector<StartOrder> starts = tick<StartOrder>();
+    const std::vector<StartCommand> starts = tick<StartCommand>();
     confirm(starts);
     const WorkerId silent = starts[0].worker;
     bool isStartedElsewhere = false;
     for (int step = 0; step < 1200 && !isStartedElsewhere; ++step) {
-        for (const StartOrder &order : tick<StartOrder>())
+        for (const StartCommand &order : tick<StartCommand>())
             isStartedElsewhere = isStartedElsewhere || order.worker != silent;
-        for (const LookOrder &order : std::exchange(looks, {}))
-            answerLook(order, {}, {},
+        for (const PollRequest &order : std::exchange(polls, {}))
+            answerPoll(order, {}, {},
                        order.worker == silent ? CallResult::Unknown : CallResult::Ok);
         advance(Millis(10));
     }
@@ -87,83 +87,86 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_oneLostLook_extendsTheLeaseAgain", "[scheduler]")
 {
     // While answers were lost a busy worker's lease ran out (AVAIL, cal trouble-3).
-    readAllWorkers();
-    submit(longJob(1, 1, 1));
-    const std::vector<StartOrder> starts = tick<StartOrder>();
+    syncAllWorkers();
+    submit(longRunningJob(1, 1, 1));
+    const std::vector<StartCommand> starts = tick<StartCommand>();
     confirm(starts);
-    LookOrder look = nextLook(starts[0].worker);
-    answerLook(look, {}, {}, CallResult::Unknown);
-    look = nextLook(starts[0].worker);
-    CHECK(look.leaseEnd.count() > 0);
+    PollRequest look = nextPoll(starts[0].worker);
+    answerPoll(look, {}, {}, CallResult::Unknown);
+    look = nextPoll(starts[0].worker);
+    CHECK(look.leaseExpiry.count() > 0);
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_startUnanswered_workerStaysInUse", "[scheduler]")
 {
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
-    const std::vector<StartOrder> starts = tick<StartOrder>();
-    scheduler.startAnswered(starts[0], CallResult::Unknown, now);
-    CHECK(scheduler.workers().at(starts[0].worker).takesNew(now));
+    const std::vector<StartCommand> starts = tick<StartCommand>();
+    scheduler.onStartResult(starts[0], CallResult::Unknown, now);
+    CHECK(scheduler.workers().at(starts[0].worker).acceptsNewTasks(now));
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_startUnansweredThreeTimes_stopsTheRunFirst",
                  "[scheduler]")
 {
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
-    std::vector<StartOrder> starts = tick<StartOrder>();
-    const StartOrder first = starts[0];
+    std::vector<StartCommand> starts = tick<StartCommand>();
+    const StartCommand first = starts[0];
     for (int attempt = 0; attempt < 3; ++attempt) {
         REQUIRE(starts.size() == 1);
         CHECK(starts[0].run == first.run);
         CHECK(starts[0].worker == first.worker);
-        scheduler.startAnswered(starts[0], CallResult::Unknown, now);
+        scheduler.onStartResult(starts[0], CallResult::Unknown, now);
         advance(Millis(300));
         if (attempt < 2)
-            starts = tick<StartOrder>();
+            starts = tick<StartCommand>();
     }
-    const std::vector<StopOrder> stops = tick<StopOrder>();
+    const std::vector<StopCommand> stops = tick<StopCommand>();
     REQUIRE(stops.size() == 1);
     CHECK(stops[0].run == first.run);
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_endNotRecorded_isNotAcknowledged", "[scheduler]")
 {
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
-    const std::vector<StartOrder> starts = tick<StartOrder>();
+    const std::vector<StartCommand> starts = tick<StartCommand>();
     confirm(starts);
-    answerLook(nextLook(starts[0].worker), {},
-               {{.number = 7, .task = starts[0].task, .run = starts[0].run, .end = RunEnd::Done}});
+    answerPoll(nextPoll(starts[0].worker), {},
+               {{.sequence = 7,
+                 .task = starts[0].task,
+                 .run = starts[0].run,
+                 .outcome = RunOutcome::Done}});
     CHECK(scheduler.jobs().at({1}).state == JobState::Completed);
     for (int step = 0; step < 50; ++step) {
-        for (const LookOrder &order : tick<LookOrder>()) {
-            CHECK(order.acknowledged == 0);
-            answerLook(order);
+        for (const PollRequest &order : tick<PollRequest>()) {
+            CHECK(order.acknowledgedEnd == 0);
+            answerPoll(order);
         }
         advance(Millis(10));
     }
-    REQUIRE_FALSE(records.empty());
-    scheduler.recordAnswered(records.back().batch, true, now);
-    CHECK(nextLook(starts[0].worker).acknowledged == 7);
+    REQUIRE_FALSE(writes.empty());
+    scheduler.onProgressWritten(writes.back().batch, true, now);
+    CHECK(nextPoll(starts[0].worker).acknowledgedEnd == 7);
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_cancelled_stopsItsRunsAndStartsNoMore", "[scheduler]")
 {
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(2, Millis(100)), makeStep(1, Millis(100), {0})}));
-    const std::vector<StartOrder> starts = tick<StartOrder>();
+    const std::vector<StartCommand> starts = tick<StartCommand>();
     confirm(starts);
     scheduler.cancel({1}, now);
-    CHECK(tick<StopOrder>().size() == starts.size());
+    CHECK(tick<StopCommand>().size() == starts.size());
     advance(Millis(500));
-    CHECK(tick<StartOrder>().empty());
+    CHECK(tick<StartCommand>().empty());
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_ownershipInDoubt_looksButOrdersNothing", "[scheduler]")
 {
-    readAllWorkers();
+    syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(2, Millis(100))}));
-    CHECK(tick<StartOrder>(false).empty());
-    CHECK(tick<StartOrder>(true).size() == 2);
+    CHECK(tick<StartCommand>(false).empty());
+    CHECK(tick<StartCommand>(true).size() == 2);
 }
--- a/tests/support/fakefleet.cpp
+++ b/tests/support/fakefleet.cpp
@@ -12,13 +12,13 @@
     return false;
 }
 
-CallResult FakeWorker::start(const StartOrder &order, std::int64_t token, Instant now, Instant ends,
-                             RunEnd outcome)
+CallResult FakeWorker::start(const StartCommand &order, std::int64_t token, Instant now,
+                             Instant ends, RunOutcome outcome)
 {
     if (isFenced(token))
         return CallResult::Fenced;
-    if (order.leaseEnd < clock(now))
-        return CallResult::TooLate;
+    if (order.leaseExpiry < clock(now))
+        return CallResult::LeaseExpired;
     for (const FakeRun &run : running) {
         if (run.task == order.task && run.run == order.run)
             return CallResult::Ok;
@@ -29,20 +29,20 @@
     running.push_back({.task = order.task,
                        .run = order.run,
                        .started = now,
-                       .ends = ends,
+                       .endTime = ends,
                        .outcome = outcome,
                        .checkpoint = order.checkpoint});
-    m_leaseEnd = std::max(m_leaseEnd, order.leaseEnd);
+    m_leaseExpiry = std::max(m_leaseExpiry, order.leaseExpiry);
     return CallResult::Ok;
 }
 
-CallResult FakeWorker::stop(const StopOrder &order, std::int64_t token, Instant)
+CallResult FakeWorker::stop(const StopCommand &order, std::int64_t token, Instant)
 {
     if (isFenced(token))
         return CallResult::Fenced;
     for (std::size_t index = 0; index < running.size(); ++index) {
         if (running[index].task == order.task && running[index].run == order.run) {
-            end(index, RunEnd::Stopped);
+            end(index, RunOutcome::Stopped);
             return CallResult::Ok;
         }
     }
@@ -51,47 +51,47 @@
     return CallResult::Ok;
 }
 
-CallResult FakeWorker::look(const LookOrder &order, std::int64_t token, Instant now,
-                            WorkerLook &look)
+CallResult FakeWorker::poll(const PollRequest &order, std::int64_t token, Instant now,
+                            WorkerStatus &look)
 {
     if (isFenced(token))
         return CallResult::Fenced;
-    m_leaseEnd = std::max(m_leaseEnd, order.leaseEnd);
+    m_leaseExpiry = std::max(m_leaseExpiry, order.leaseExpiry);
     std::erase_if(ended,
-                  [&](const EndedTask &entry) { return entry.number <= order.acknowledged; });
+                  [&](const EndedRun &entry) { return entry.sequence <= order.acknowledgedEnd; });
     look.clock = clock(now);
     look.ended = ended;
     constexpr int kAlmost = 99;
     for (const FakeRun &run : running) {
-        const auto whole = std::max<Instant::rep>(1, (run.ends - run.started).count());
+        const auto whole = std::max<Instant::rep>(1, (run.endTime - run.started).count());
         const auto percent = static_cast<int>(kAlmost * (now - run.started).count() / whole);
         look.running.push_back({.task = run.task,
                                 .run = run.run,
                                 .checkpoint = run.checkpoint,
-                                .percent = std::clamp(percent, 0, kAlmost)});
+                                .progressPercent = std::clamp(percent, 0, kAlmost)});
     }
     return CallResult::Ok;
 }
 
-void FakeWorker::end(std::size_t index, RunEnd how)
+void FakeWorker::end(std::size_t index, RunOutcome how)
 {
     const FakeRun run = running[index];
     running.erase(running.begin() + static_cast<std::ptrdiff_t>(index));
     std::int64_t &closed = m_closedRuns[run.task];
     closed = std::max(closed, run.run);
-    ended.push_back({.number = ++m_ends, .task = run.task, .run = run.run, .end = how});
+    ended.push_back({.sequence = ++m_lastEnd, .task = run.task, .run = run.run, .outcome = how});
 }
 
 void FakeWorker::step(Instant now)
 {
     for (std::size_t index = 0; index < running.size();) {
-        if (running[index].ends <= now)
+        if (running[index].endTime <= now)
             end(index, running[index].outcome);
         else
             ++index;
     }
-    while (!running.empty() && clock(now) > m_leaseEnd)
-        end(0, RunEnd::Lapsed);
+    while (!running.empty() && clock(now) > m_leaseExpiry)
+        end(0, RunOutcome::LeaseExpired);
 }
 
 Resources FakeWorker::used() const
@@ -135,7 +135,7 @@
     return step;
 }
 
-WorkerReport makeWorker(const std::string &id, const std::string &pool, std::int64_t milliCores)
+WorkerInfo makeWorker(const std::string &id, const std::string &pool, std::int64_t milliCores)
 {
     return {.id = WorkerId(id),
             .pool = ServiceId(pool),
--- a/tests/support/fakefleet.h
+++ b/tests/support/fakefleet.h
@@ -17,8 +17,8 @@
     TaskId task;
     std::int64_t run = 0;
     Instant started;
-    Instant ends;
-    RunEnd outcome = RunEnd::Done;
+    Instant endTime;
+    RunOutcome outcome = RunOutcome::Done;
     std::string checkpoint;
 };
 
@@ -27,8 +27,8 @@
 {
 public:
     FakeWorker() = default;
-    FakeWorker(WorkerReport entry, Millis clockAhead)
-        : report(std::move(entry))
+    FakeWorker(WorkerInfo entry, Millis clockAhead)
+        : info(std::move(entry))
         , m_clockAhead(clockAhead)
     {}
 
@@ -36,10 +36,10 @@
     {
         return std::chrono::duration_cast<Millis>(now.time_since_epoch()) + m_clockAhead;
     }
-    CallResult start(const StartOrder &order, std::int64_t token, Instant now, Instant ends,
-                     RunEnd outcome);
-    CallResult stop(const StopOrder &order, std::int64_t token, Instant now);
-    CallResult look(const LookOrder &order, std::int64_t token, Instant now, WorkerLook &look);
+    CallResult start(const StartCommand &order, std::int64_t token, Instant now, Instant ends,
+                     RunOutcome outcome);
+    CallResult stop(const StopCommand &order, std::int64_t token, Instant now);
+    CallResult poll(const PollRequest &order, std::int64_t token, Instant now, WorkerStatus &look);
     /// Ends what is due and, past the lease, everything.
     void step(Instant now);
     Resources used() const;
@@ -47,26 +47,26 @@
     /// Returns the number of the task's run here, or 0.
     std::int64_t runOf(const TaskId &task) const;
 
-    WorkerReport report;
+    WorkerInfo info;
     bool isReachable = true;
     std::vector<FakeRun> running;
-    std::vector<EndedTask> ended;
+    std::vector<EndedRun> ended;
     std::map<TaskId, Resources> needs;
 
 private:
-    void end(std::size_t index, RunEnd how);
+    void end(std::size_t index, RunOutcome how);
     bool isFenced(std::int64_t token);
 
     Millis m_clockAhead{0};
-    Millis m_leaseEnd{0};
+    Millis m_leaseExpiry{0};
     std::int64_t m_token = 0;
-    std::int64_t m_ends = 0;
+    std::int64_t m_lastEnd = 0;
     std::map<TaskId, std::int64_t> m_closedRuns; ///< Highest run stopped or ended.
 };
 
 /// Builds jobs for tests.
 JobSpec makeJob(std::uint64_t id, const std::string &pool, std::vector<StepSpec> steps);
 StepSpec makeStep(int count, Millis estimate, std::vector<int> after = {});
-WorkerReport makeWorker(const std::string &id, const std::string &pool, std::int64_t milliCores);
+WorkerInfo makeWorker(const std::string &id, const std::string &pool, std::int64_t milliCores);
 
 } // namespace oleanderhall::test
--- a/tests/support/schedulerfixture.h
+++ b/tests/support/schedulerfixture.h
@@ -15,9 +15,8 @@
 protected:
     SchedulerTest()
     {
-        scheduler.listWorkers({makeWorker("w1", "pool", 8000), makeWorker("w2", "pool", 8000)},
-                              now);
-        scheduler.expectWorkers(ServiceId("pool"), {w1, w2});
+        scheduler.setWorkers({makeWorker("w1", "pool", 8000), makeWorker("w2", "pool", 8000)}, now);
+        scheduler.setExpectedWorkers(ServiceId("pool"), {w1, w2});
     }
 
     void advance(Millis time) { now += time; }
@@ -29,59 +28,59 @@
         for (const SchedulerAction &action : scheduler.tick(now, 0, mayOrder)) {
             if (const auto *order = std::get_if<Order>(&action))
                 result.push_back(*order);
-            if (const auto *record = std::get_if<RecordOrder>(&action))
-                records.push_back(*record);
-            if (const auto *look = std::get_if<LookOrder>(&action))
-                looks.push_back(*look);
+            if (const auto *record = std::get_if<ProgressWrite>(&action))
+                writes.push_back(*record);
+            if (const auto *look = std::get_if<PollRequest>(&action))
+                polls.push_back(*look);
         }
         return result;
     }
 
     /// Answers a look at `worker` with `running` and `ended`.
-    void answerLook(const LookOrder &order, std::vector<RunningTask> running = {},
-                    std::vector<EndedTask> ended = {}, CallResult result = CallResult::Ok)
+    void answerPoll(const PollRequest &order, std::vector<ActiveRun> running = {},
+                    std::vector<EndedRun> ended = {}, CallResult result = CallResult::Ok)
     {
-        const WorkerLook look{.clock = std::chrono::duration_cast<Millis>(now.time_since_epoch()),
-                              .running = std::move(running),
-                              .ended = std::move(ended)};
-        scheduler.lookAnswered(order, result, look, now, now);
+        const WorkerStatus look{.clock = std::chrono::duration_cast<Millis>(now.time_since_epoch()),
+                                .running = std::move(running),
+                                .ended = std::move(ended)};
+        scheduler.onPollResult(order, result, look, now, now);
     }
 
-    void readAllWorkers()
+    void syncAllWorkers()
     {
-        for (const LookOrder &order : tick<LookOrder>())
-            answerLook(order);
+        for (const PollRequest &order : tick<PollRequest>())
+            answerPoll(order);
     }
 
     void submit(JobSpec job)
     {
         const JobId id = job.id;
-        scheduler.accept(std::move(job), {.id = id, .isReleased = true}, false, now);
+        scheduler.addJob(std::move(job), {.id = id, .isReleased = true}, false, now);
     }
 
-    void confirm(const std::vector<StartOrder> &orders)
+    void confirm(const std::vector<StartCommand> &orders)
     {
-        for (const StartOrder &order : orders)
-            scheduler.startAnswered(order, CallResult::Ok, now);
+        for (const StartCommand &order : orders)
+            scheduler.onStartResult(order, CallResult::Ok, now);
     }
 
-    LookOrder nextLook(WorkerId worker)
+    PollRequest nextPoll(WorkerId worker)
     {
         for (int step = 0; step < 400; ++step) {
-            for (const LookOrder &order : tick<LookOrder>()) {
+            for (const PollRequest &order : tick<PollRequest>()) {
                 if (order.worker == worker)
                     return order;
-                answerLook(order);
+                answerPoll(order);
             }
-            for (const RecordOrder &order : std::exchange(records, {}))
-                scheduler.recordAnswered(order.batch, true, now);
+            for (const ProgressWrite &order : std::exchange(writes, {}))
+                scheduler.onProgressWritten(order.batch, true, now);
             advance(Millis(10));
         }
         FAIL("the worker was not looked at for 4 s");
         return {};
     }
 
-    static JobSpec longJob(std::uint64_t id, int count, int mayMiss)
+    static JobSpec longRunningJob(std::uint64_t id, int count, int mayMiss)
     {
         StepSpec step = makeStep(count, Millis(100));
         step.isLongRunning = true;
@@ -89,16 +88,16 @@
         return makeJob(id, "pool", {step});
     }
 
-    static RunningTask atWork(const StartOrder &order)
+    static ActiveRun readyRun(const StartCommand &order)
     {
-        return {.task = order.task, .run = order.run, .percent = 100};
+        return {.task = order.task, .run = order.run, .progressPercent = 100};
     }
 
     const WorkerId w1{"w1"};
     const WorkerId w2{"w2"};
     Instant now{std::chrono::hours(1)};
-    std::vector<RecordOrder> records;
-    std::vector<LookOrder> looks;
+    std::vector<ProgressWrite> writes;
+    std::vector<PollRequest> polls;
     Scheduler scheduler{SchedulerSettings{}, 0, now - std::chrono::minutes(1)};
 };
 
