--- a/include/oleanderhall/scheduling/callresult.h
+++ b/include/oleanderhall/scheduling/callresult.h
@@ -10,7 +10,7 @@
     OtherIncarnation, ///< Another life of the worker answered; the intended one is over.
     Fenced, ///< The worker has seen a higher fencing token.
     RunTooOld, ///< The run's number is not higher than one that was stopped or has ended.
-    LeaseExpired, ///< The lease that the order carried had passed.
+    TooLate, ///< The lease that the order carried had passed.
     NoCapacity,
     TicketRejected, ///< The queue's policy does not allow this worker, or the ticket expired.
     Unhealthy, ///< The worker turned the order away; it had no effect.
--- a/include/oleanderhall/scheduling/decision.h
+++ b/include/oleanderhall/scheduling/decision.h
@@ -15,7 +15,7 @@
     const char *event = "";
     std::vector<std::pair<const char *, std::string>> fields;
     bool isWarning = false;
-    std::optional<Millis> duration; ///< What led to it, where that is measured.
+    std::optional<Millis> elapsed; ///< What led to it, where that is measured.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/jobrank.h
+++ b/include/oleanderhall/scheduling/jobrank.h
@@ -15,9 +15,9 @@
     Millis allowance{0}; ///< ...and this much more.
     Millis age{0}; ///< Since the job was accepted.
     Millis criticalPath{0}; ///< Expected run time of the longest chain of steps.
-    Millis remainingCriticalPath{0};
+    Millis criticalPathLeft{0};
     double totalWork = 0; ///< In core-seconds.
-    double remainingWork = 0;
+    double workLeft = 0;
     double meanWork = 0; ///< Of the queue's jobs.
 };
 
--- a/include/oleanderhall/scheduling/leaseclock.h
+++ b/include/oleanderhall/scheduling/leaseclock.h
@@ -15,7 +15,7 @@
 
     bool isKnown() const { return m_isKnown; }
     /// Records that the worker's clock stood at `clock` at `heard` or a little earlier.
-    void observe(Millis clock, Instant heard);
+    void update(Millis clock, Instant heard);
     /// Returns the latest time that the worker's clock can show at `now`.
     Millis latestTime(Instant now) const;
     /// Records that an order was sent that lets runs go on until `end` on the worker's clock.
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -82,7 +82,10 @@
     /// an earlier owner may have started there wait.
     void setExpectedWorkers(ServiceId pool, std::vector<WorkerId> workers);
     /// Takes the workers whose hosts are to be maintained soon: others are better for long runs.
-    void setMaintenanceSoon(std::set<WorkerId> workers) { m_maintenanceSoon = std::move(workers); }
+    void setAwaitingMaintenance(std::set<WorkerId> workers)
+    {
+        m_awaitingMaintenance = std::move(workers);
+    }
     /// Returns whether every worker that may run tasks of the pool has been read.
     bool isSynced(ServiceId pool) const;
 
@@ -180,7 +183,7 @@
     ServiceId m_firstPool; ///< Whose tasks are placed first next time.
     RunTimeModel m_runTimes;
     std::map<ServiceId, std::vector<WorkerId>> m_expectedWorkers;
-    std::set<WorkerId> m_maintenanceSoon;
+    std::set<WorkerId> m_awaitingMaintenance;
     std::map<ServiceId, ArrivalRate> m_arrivals; ///< Of work, in core-seconds a second.
     TicketCache m_tickets;
     std::set<JobId> m_dirty;
--- a/include/oleanderhall/scheduling/workerstate.h
+++ b/include/oleanderhall/scheduling/workerstate.h
@@ -25,7 +25,7 @@
     std::int64_t run = 0;
     Phase phase = Phase::Starting;
     Resources reservation; ///< That count against the worker's room.
-    bool fills = false;
+    bool usesIdleCores = false;
     bool isLongRunning = false;
     Millis latencyTarget{0};
     Instant startSent; ///< When the start was first sent.
--- a/include/oleanderhall/scheduling/workerstatus.h
+++ b/include/oleanderhall/scheduling/workerstatus.h
@@ -29,7 +29,7 @@
     std::int64_t sequence = 0; ///< Counts the worker's ends from 1 in each life.
     TaskId task;
     std::int64_t run = 0;
-    RunOutcome outcome = RunOutcome::Failed;
+    RunOutcome runOutcome = RunOutcome::Failed;
     std::string checkpoint;
 };
 
--- a/src/node/hostkeeper.cpp
+++ b/src/node/hostkeeper.cpp
@@ -264,7 +264,7 @@
     const HostPlanner::Plan plan = m_planner.plan(
         m_scheduler.poolDemands(now), [this](WorkerId worker) { return useOf(worker); }, now);
     m_scheduler.cordon(plan.cordoned);
-    m_scheduler.setMaintenanceSoon(plan.dueSoon);
+    m_scheduler.setAwaitingMaintenance(plan.dueSoon);
     m_scheduler.evacuate(plan.evacuated, now);
     announce(plan.orders, now);
     for (const auto &[wave, isCompleted] : plan.waveStates)
--- a/src/node/owner.cpp
+++ b/src/node/owner.cpp
@@ -142,8 +142,8 @@
 {
     for (const Decision &decision : m_scheduler.takeDecisions()) {
         m_metrics.count(std::string("decisions_") + decision.event + "_total");
-        if (decision.duration)
-            m_metrics.observe(std::string(decision.event) + "_seconds", *decision.duration);
+        if (decision.elapsed)
+            m_metrics.observe(std::string(decision.event) + "_seconds", *decision.elapsed);
         logFields(decision.event, decision.isWarning, decision.fields);
     }
 }
--- a/src/scheduling/callresult.cpp
+++ b/src/scheduling/callresult.cpp
@@ -17,7 +17,7 @@
         return "fenced";
     case CallResult::RunTooOld:
         return "run_too_old";
-    case CallResult::LeaseExpired:
+    case CallResult::TooLate:
         return "too_late";
     case CallResult::NoCapacity:
         return "no_room";
--- a/src/scheduling/jobrank.cpp
+++ b/src/scheduling/jobrank.cpp
@@ -27,7 +27,7 @@
     if (facts.isLongRunning)
         return {.priority = -1};
     const double objective = facts.stretch * seconds(facts.criticalPath) + seconds(facts.allowance);
-    const double finish = seconds(facts.age) + seconds(facts.remainingCriticalPath);
+    const double finish = seconds(facts.age) + seconds(facts.criticalPathLeft);
     JobRank rank{.priority = facts.priority};
     if (finish > kExpiredAfterObjectives * objective) {
         rank.timeliness = JobRank::Timeliness::Expired;
@@ -38,7 +38,7 @@
     rank.timeliness = finish <= objective ? JobRank::Timeliness::InTime : JobRank::Timeliness::Late;
     const double size = facts.totalWork / std::max(facts.meanWork, kMinWorkCoreSeconds);
     const double worth = std::min(kMaxValue, kFixedValue + (1 - kFixedValue) * size);
-    rank.negatedValueDensity = -worth / std::max(facts.remainingWork, kMinWorkCoreSeconds);
+    rank.negatedValueDensity = -worth / std::max(facts.workLeft, kMinWorkCoreSeconds);
     return rank;
 }
 
--- a/src/scheduling/leaseclock.cpp
+++ b/src/scheduling/leaseclock.cpp
@@ -4,7 +4,7 @@
 
 namespace oleanderhall {
 
-void LeaseClock::observe(Millis clock, Instant heard)
+void LeaseClock::update(Millis clock, Instant heard)
 {
     // Answers on different connections may overtake each other: keep the one that is furthest on.
     if (m_isKnown && clock < m_observedTime)
--- a/src/scheduling/schedulerevents.cpp
+++ b/src/scheduling/schedulerevents.cpp
@@ -153,7 +153,7 @@
                                order.worker);
         break;
     case CallResult::RunTooOld:
-    case CallResult::LeaseExpired:
+    case CallResult::TooLate:
     case CallResult::Fenced:
     case CallResult::OtherIncarnation:
         worker.nextPoll = now;
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -90,9 +90,9 @@
         step.tasks.resize(1); // a step that is not complete
     facts.age = std::chrono::duration_cast<Millis>(now - job.accepted);
     facts.criticalPath = remainingCriticalPath(job, untouched);
-    facts.remainingCriticalPath = remainingCriticalPath(job, occurrence);
+    facts.criticalPathLeft = remainingCriticalPath(job, occurrence);
     facts.totalWork = remainingWork(job, untouched);
-    facts.remainingWork = remainingWork(job, occurrence);
+    facts.workLeft = remainingWork(job, occurrence);
     facts.meanWork = m_runTimes.meanWork(job.spec.queue.name);
     return facts;
 }
@@ -295,7 +295,7 @@
                 && run.task.step == step)
                 ++alike;
             serving += run.latencyTarget.count() > 0 ? 1 : 0;
-            filling += run.fills ? 1 : 0;
+            filling += run.usesIdleCores ? 1 : 0;
         }
         if (spec.maxPerWorker > 0 && alike >= spec.maxPerWorker)
             continue;
@@ -305,7 +305,7 @@
             score -= 1000;
         if (!spec.dataRack.empty() && worker.info.hasLabel(spec.dataRack))
             score += 100;
-        if (spec.isLongRunning && m_maintenanceSoon.contains(id))
+        if (spec.isLongRunning && m_awaitingMaintenance.contains(id))
             score -= 50;
         if (spec.isLongRunning && spec.mayMiss >= 0)
             score -= 30.0 * std::max(0, alike - 1); // a lost host should not take most of them
@@ -336,7 +336,7 @@
     run.reservation = spec.need;
     if (spec.fills)
         run.reservation.milliCores = 0;
-    run.fills = spec.fills;
+    run.usesIdleCores = spec.fills;
     run.isLongRunning = spec.isLongRunning;
     run.latencyTarget = spec.latencyTarget;
     run.startSent = now;
--- a/src/scheduling/schedulerstatus.cpp
+++ b/src/scheduling/schedulerstatus.cpp
@@ -22,7 +22,7 @@
 void Scheduler::handleStatus(WorkerState &worker, const WorkerStatus &look, Instant sent,
                              Instant now)
 {
-    worker.clock.observe(look.clock, now);
+    worker.clock.update(look.clock, now);
     if (!worker.isSynced) {
         worker.isSynced = true;
         // An earlier owner's leases may run on for as long as any lease.
@@ -83,10 +83,10 @@
     run.recentLoad = row.recentLoad;
     if (spec) {
         run.reservation = spec->need;
-        run.fills = spec->fills;
+        run.usesIdleCores = spec->fills;
         run.isLongRunning = spec->isLongRunning;
         run.latencyTarget = spec->latencyTarget;
-        if (run.fills)
+        if (run.usesIdleCores)
             run.reservation.milliCores = 0;
     }
     const bool isWanted = task && job != m_jobs.end() && !isFinal(job->second.state)
@@ -141,8 +141,8 @@
                  {{"task", textOf(ended.task)},
                   {"run", std::to_string(ended.run)},
                   {"worker", worker.info.id.name()},
-                  {"end", std::to_string(static_cast<int>(ended.outcome))}}});
-    if (ended.outcome == RunOutcome::Done && !spec.isLongRunning) {
+                  {"end", std::to_string(static_cast<int>(ended.runOutcome))}}});
+    if (ended.runOutcome == RunOutcome::Done && !spec.isLongRunning) {
         TrackedStep &step = *findStep(ended.task);
         for (TrackedTask &member : step.tasks) {
             if (!member.isDone && (&member == task || spec.isGang)) {
@@ -171,7 +171,7 @@
     if (spec.isLongRunning)
         return; // started again without limit; nothing needs to last
     markDirty(job);
-    if (ended.outcome == RunOutcome::Failed)
+    if (ended.runOutcome == RunOutcome::Failed)
         handleFailure(worker, job, *task, ended.task, now);
 }
 
@@ -226,7 +226,7 @@
     double worst = 0; // tail latency of a serving run, as a share of its target
     bool hasFill = false;
     for (const WorkerRun &run : worker.runs) {
-        hasFill = hasFill || run.fills;
+        hasFill = hasFill || run.usesIdleCores;
         if (run.latencyTarget.count() > 0 && run.phase == WorkerRun::Phase::Running)
             worst = std::max(worst,
                              static_cast<double>(run.recentLoad)
@@ -237,7 +237,7 @@
         return;
     worker.nextCpuLimitChange = now + kCpuLimitInterval;
     for (WorkerRun &run : worker.runs) {
-        if (!run.fills)
+        if (!run.usesIdleCores)
             continue;
         const int slower = run.targetCpuLimitPercent / 2 < kMinCpuLimitPercent
             ? 0
--- a/src/scheduling/schedulertick.cpp
+++ b/src/scheduling/schedulertick.cpp
@@ -106,7 +106,7 @@
         needsAnswerNow = needsAnswerNow
             || (run.phase == WorkerRun::Phase::Stopping && run.isStopConfirmed
                 && now - run.stopConfirmedAt > m_settings.stopTimeout);
-        mixesFill = mixesFill || run.fills;
+        mixesFill = mixesFill || run.usesIdleCores;
         mixesServing = mixesServing || run.latencyTarget.count() > 0;
     }
     // A silent worker's lease is left alone, so that it can be told when its runs have ended. One
--- a/tests/platform/decoders_test.cpp
+++ b/tests/platform/decoders_test.cpp
@@ -141,7 +141,7 @@
     CHECK(look.running[0].progressPercent == 41);
     CHECK(look.running[0].recentLoad == 120);
     REQUIRE(look.ended.size() == 1);
-    CHECK(look.ended[0].outcome == RunOutcome::Done);
+    CHECK(look.ended[0].runOutcome == RunOutcome::Done);
     CHECK(look.ended[0].sequence == 58);
     survivesDamage(kLook, [](const std::string &text) { decodeLook(text); });
 }
--- a/tests/scheduling/jobrank_test.cpp
+++ b/tests/scheduling/jobrank_test.cpp
@@ -46,9 +46,9 @@
             .allowance = Millis(600),
             .age = millis(now - job.arrives),
             .criticalPath = millis(job.steps * job.length),
-            .remainingCriticalPath = millis((job.steps - job.stepsDone) * job.length),
+            .criticalPathLeft = millis((job.steps - job.stepsDone) * job.length),
             .totalWork = job.work(),
-            .remainingWork = (job.steps - job.stepsDone) * job.tasks * job.length * job.cores,
+            .workLeft = (job.steps - job.stepsDone) * job.tasks * job.length * job.cores,
             .meanWork = meanWork};
 }
 
@@ -204,23 +204,22 @@
 
 TEST_CASE("JobOrder_longRunning_comesBeforeAll", "[load]")
 {
-    CHECK(rankOf({.isLongRunning = true, .priority = 9})
-          < rankOf({.priority = 0, .remainingWork = 1}));
+    CHECK(rankOf({.isLongRunning = true, .priority = 9}) < rankOf({.priority = 0, .workLeft = 1}));
 }
 
 TEST_CASE("JobOrder_priorities_comeBeforeWorth", "[load]")
 {
-    CHECK(rankOf({.priority = 0, .totalWork = 100, .remainingWork = 100, .meanWork = 1})
-          < rankOf({.priority = 1, .totalWork = 1, .remainingWork = 1, .meanWork = 1}));
+    CHECK(rankOf({.priority = 0, .totalWork = 100, .workLeft = 100, .meanWork = 1})
+          < rankOf({.priority = 1, .totalWork = 1, .workLeft = 1, .meanWork = 1}));
 }
 
 TEST_CASE("JobOrder_lateJob_comesAfterOneInTime", "[load]")
 {
     const JobRankInputs inTime{
-        .allowance = Millis(600), .totalWork = 9, .remainingWork = 9, .meanWork = 1};
+        .allowance = Millis(600), .totalWork = 9, .workLeft = 9, .meanWork = 1};
     JobRankInputs late = inTime;
     late.age = Millis(900);
-    late.remainingWork = 0.1;
+    late.workLeft = 0.1;
     JobRankInputs useless = late;
     useless.age = Millis(9000);
     CHECK(rankOf(inTime) < rankOf(late));
@@ -230,8 +229,8 @@
 TEST_CASE("JobOrder_begunJob_comesBeforeOneLikeItThatIsNot", "[load]")
 {
     const JobRankInputs fresh{
-        .allowance = Millis(9000), .totalWork = 9, .remainingWork = 9, .meanWork = 1};
+        .allowance = Millis(9000), .totalWork = 9, .workLeft = 9, .meanWork = 1};
     JobRankInputs begun = fresh;
-    begun.remainingWork = 4;
+    begun.workLeft = 4;
     CHECK(rankOf(begun) < rankOf(fresh));
 }
--- a/tests/scheduling/scheduler_property_test.cpp
+++ b/tests/scheduling/scheduler_property_test.cpp
@@ -57,7 +57,7 @@
             for (auto &[id, worker] : m_workers) {
                 worker.step(m_now);
                 for (const EndedRun &entry : worker.ended) {
-                    if (entry.outcome == RunOutcome::Done)
+                    if (entry.runOutcome == RunOutcome::Done)
                         m_everDone.insert(entry.task);
                 }
             }
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -56,9 +56,11 @@
     confirm(starts);
     const TaskId task = starts[0].task;
     PollRequest look = nextPoll(starts[0].worker);
-    answerPoll(look, {}, {{.sequence = 1, .task = task, .run = 12, .outcome = RunOutcome::Failed}});
+    answerPoll(look, {},
+               {{.sequence = 1, .task = task, .run = 12, .runOutcome = RunOutcome::Failed}});
     look = nextPoll(starts[0].worker);
-    answerPoll(look, {}, {{.sequence = 2, .task = task, .run = 11, .outcome = RunOutcome::Failed}});
+    answerPoll(look, {},
+               {{.sequence = 2, .task = task, .run = 11, .runOutcome = RunOutcome::Failed}});
     const TrackedJob &job = scheduler.jobs().at({1});
     CHECK(job.occurrences[0].steps[0].tasks[0].failures == 2);
 }
@@ -137,7 +139,7 @@
                {{.sequence = 7,
                  .task = starts[0].task,
                  .run = starts[0].run,
-                 .outcome = RunOutcome::Done}});
+                 .runOutcome = RunOutcome::Done}});
     CHECK(scheduler.jobs().at({1}).state == JobState::Completed);
     for (int step = 0; step < 50; ++step) {
         for (const PollRequest &order : tick<PollRequest>()) {
--- a/tests/support/fakefleet.cpp
+++ b/tests/support/fakefleet.cpp
@@ -18,7 +18,7 @@
     if (isFenced(token))
         return CallResult::Fenced;
     if (order.leaseExpiry < clock(now))
-        return CallResult::LeaseExpired;
+        return CallResult::TooLate;
     for (const FakeRun &run : running) {
         if (run.task == order.task && run.run == order.run)
             return CallResult::Ok;
@@ -79,7 +79,7 @@
     running.erase(running.begin() + static_cast<std::ptrdiff_t>(index));
     std::int64_t &closed = m_closedRuns[run.task];
     closed = std::max(closed, run.run);
-    ended.push_back({.sequence = ++m_lastEnd, .task = run.task, .run = run.run, .outcome = how});
+    ended.push_back({.sequence = ++m_lastEnd, .task = run.task, .run = run.run, .runOutcome = how});
 }
 
 void FakeWorker::step(Instant now)
