--- a/include/oleanderhall/scheduling/arrivalrate.h
+++ b/include/oleanderhall/scheduling/arrivalrate.h
@@ -4,17 +4,17 @@
 
 namespace oleanderhall {
 
-/// An ArrivalRate estimates how much arrives in a second. Older arrivals count less and less, so
-/// that it follows a sudden change within its memory.
+/// An ArrivalRate estimates how much arrives per second. The weight of an arrival decays
+/// exponentially, so that the estimate follows a sudden change within about `timeConstant`.
 class ArrivalRate
 {
 public:
-    explicit ArrivalRate(Millis memory = Millis(700))
-        : m_timeConstant(memory)
+    explicit ArrivalRate(Millis timeConstant = Millis(700))
+        : m_timeConstant(timeConstant)
     {}
 
     void add(double amount, Instant now);
-    /// Returns the rate in amounts a second.
+    /// Returns the estimated amount per second.
     double rate(Instant now) const;
 
 private:
--- a/include/oleanderhall/scheduling/callresult.h
+++ b/include/oleanderhall/scheduling/callresult.h
@@ -2,21 +2,22 @@
 
 namespace oleanderhall {
 
-/// What is known after an order was sent to a worker.
+/// The result of a command or poll that was sent to a worker.
 enum class CallResult {
     Ok,
-    NotSent, ///< No connection; the order had no effect.
-    Unknown, ///< No answer; the order may have been carried out, or may be later.
-    OtherIncarnation, ///< Another life of the worker answered; the intended one is over.
-    Fenced, ///< The worker has seen a higher fencing token.
-    RunTooOld, ///< The run's number is not higher than one that was stopped or has ended.
-    TooLate, ///< The lease that the order carried had passed.
+    NotSent, ///< No connection; the command had no effect.
+    Unknown, ///< No answer; the command may have been executed, or may be executed later.
+    OtherIncarnation, ///< A later incarnation answered; the intended one has terminated.
+    Fenced, ///< The worker has accepted a higher fencing token.
+    RunTooOld, ///< A run of the task with this or a higher number was stopped or has ended.
+    TooLate, ///< The command's lease had expired when it arrived.
     NoCapacity,
     TicketRejected, ///< The queue's policy does not allow this worker, or the ticket expired.
-    Unhealthy, ///< The worker turned the order away; it had no effect.
+    Unhealthy, ///< The worker refused the command; it had no effect.
     Invalid,
 };
 
+/// Returns the name that stands for `result` in logs.
 const char *nameOf(CallResult result);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/decision.h
+++ b/include/oleanderhall/scheduling/decision.h
@@ -9,13 +9,13 @@
 
 namespace oleanderhall {
 
-/// One decision, for the log: what was decided and the inputs that decided it.
+/// A decision for the log: its event name and the inputs that led to it.
 struct Decision
 {
     const char *event = "";
     std::vector<std::pair<const char *, std::string>> fields;
     bool isWarning = false;
-    std::optional<Millis> elapsed; ///< What led to it, where that is measured.
+    std::optional<Millis> elapsed; ///< Duration that ended with this decision, if measured.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/jobrank.h
+++ b/include/oleanderhall/scheduling/jobrank.h
@@ -6,38 +6,44 @@
 
 namespace oleanderhall {
 
-/// What the order of waiting jobs rests on.
+/// The inputs of a job's rank. A job's objective is `stretch` times its critical path plus
+/// `allowance`, counted from its acceptance.
 struct JobRankInputs
 {
     bool isLongRunning = false;
-    int priority = 0; ///< Of the queue; 0 comes first.
-    double stretch = 1; ///< The objective is this many times the whole chain...
-    Millis allowance{0}; ///< ...and this much more.
-    Millis age{0}; ///< Since the job was accepted.
-    Millis criticalPath{0}; ///< Expected run time of the longest chain of steps.
-    Millis criticalPathLeft{0};
+    int priority = 0; ///< Of the queue; 0 is the highest.
+    double stretch = 1; ///< Of the queue's objective.
+    Millis allowance{0}; ///< Of the queue's objective.
+    Millis age{0}; ///< Time since the job was accepted.
+    Millis criticalPath{0}; ///< Expected run time of the longest chain of dependent steps.
+    Millis criticalPathLeft{0}; ///< The same for the steps that are not complete.
     double totalWork = 0; ///< In core-seconds.
-    double workLeft = 0;
-    double meanWork = 0; ///< Of the queue's jobs.
+    double workLeft = 0; ///< In core-seconds.
+    double meanWork = 0; ///< Of the queue's jobs, in core-seconds.
 };
 
-/// A JobRank orders jobs that compete for one pool; the least comes first. Long-running jobs come
-/// before all others, then queues by priority. Within a queue come the jobs that can still meet
-/// their objective, then those that are late and still of use, then the rest. Among equals comes
-/// the one with the most worth for the work that is left: what is begun is finished, and under
-/// overload many small jobs are in time where first come first served would make all late.
+/// A JobRank orders jobs that compete for one pool; the lowest is placed first. Long-running jobs
+/// come before all others, then queues by priority. Within a queue, jobs that can still meet their
+/// objective come first, then late jobs whose result is still useful, then the rest. Jobs that are
+/// equal so far are ordered by value per remaining work, highest first. So started jobs are
+/// finished, and under overload many small jobs are in time where first come, first served would
+/// make all jobs late.
 struct JobRank
 {
-    enum class Timeliness { InTime, Late, Expired };
+    enum class Timeliness {
+        InTime, ///< Can still meet its objective.
+        Late,
+        Expired, ///< So late that its result is of no use to the caller.
+    };
 
     int priority = 0;
     Timeliness timeliness = Timeliness::InTime;
-    double negatedValueDensity = 0;
+    double negatedValueDensity = 0; ///< Value per remaining core-second, times -1.
 
     friend auto operator<=>(const JobRank &, const JobRank &) = default;
 };
 
-/// Returns the rank of a job. It only compares with ranks taken at the same time.
+/// Returns the rank of a job. Only ranks computed for the same instant can be compared.
 JobRank rankOf(const JobRankInputs &facts);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/leaseclock.h
+++ b/include/oleanderhall/scheduling/leaseclock.h
@@ -4,28 +4,31 @@
 
 namespace oleanderhall {
 
-/// A LeaseClock follows one worker's steady clock from its answers, to set the end of leases and
-/// to tell when everything that ran there must have ended.
+/// A LeaseClock estimates one worker's monotonic clock from its answers. It serves to compute the
+/// expiry of leases on that clock and to determine when all leases have certainly expired.
 class LeaseClock
 {
 public:
+    /// `drift` is the fraction by which the worker's clock may run slow.
     explicit LeaseClock(double drift)
         : m_drift(drift)
     {}
 
+    /// Returns whether the clock was read at least once.
     bool isKnown() const { return m_isKnown; }
-    /// Records that the worker's clock stood at `clock` at `heard` or a little earlier.
-    void update(Millis clock, Instant heard);
-    /// Returns the latest time that the worker's clock can show at `now`.
+    /// Records that the worker's clock showed `clock` at `receivedAt` or shortly before.
+    void update(Millis clock, Instant receivedAt);
+    /// Returns the time that the worker's clock shows at `now`, assuming that it is not slow.
     Millis latestTime(Instant now) const;
-    /// Records that an order was sent that lets runs go on until `end` on the worker's clock.
-    void recordGranted(Millis end);
-    /// Records that the worker has answered an order with a lease until `end`.
-    void recordConfirmed(Millis end);
-    /// Returns the end of the longest lease that the worker is known to hold. A longer one may have
-    /// been granted by an order that was lost.
+    /// Records that a command was sent whose lease expires at `expiry` on the worker's clock.
+    void recordGranted(Millis expiry);
+    /// Records that the worker has accepted a lease that expires at `expiry`.
+    void recordConfirmed(Millis expiry);
+    /// Returns the expiry of the longest lease that the worker is known to hold. A command that
+    /// was not answered may have granted a longer one.
     Millis confirmedExpiry() const { return m_confirmedExpiry; }
-    /// Returns whether the worker's clock has certainly passed every granted lease.
+    /// Returns whether the worker's clock is certainly past every granted lease by `slack`, even if
+    /// it runs slow by the configured drift.
     bool allLeasesExpired(Instant now, Millis slack) const;
 
 private:
--- a/include/oleanderhall/scheduling/pooldemand.h
+++ b/include/oleanderhall/scheduling/pooldemand.h
@@ -6,12 +6,12 @@
 
 namespace oleanderhall {
 
-/// What the work of one pool asks of its hosts.
+/// The capacity that the accepted and expected work of one pool requires.
 struct PoolDemand
 {
-    double cores = 0; ///< That finish the accepted work in time, and what arrives meanwhile.
-    double longRunningCores = 0; ///< Of tasks that run until they are cancelled.
-    int minHosts = 0; ///< That let tasks be spread as their steps ask.
+    double cores = 0; ///< To finish accepted work, and work arriving meanwhile, in time.
+    double longRunningCores = 0; ///< For tasks that run until they are cancelled.
+    int minHosts = 0; ///< To respect the steps' limits of tasks per worker.
 };
 
 using PoolDemands = std::map<ServiceId, PoolDemand>;
--- a/include/oleanderhall/scheduling/queueload.h
+++ b/include/oleanderhall/scheduling/queueload.h
@@ -5,7 +5,7 @@
 
 namespace oleanderhall {
 
-/// How much of one queue is waiting at its owner.
+/// The number of jobs of one queue that wait at the owner.
 struct QueueLoad
 {
     std::string queue;
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -26,67 +26,75 @@
 
 namespace oleanderhall {
 
-/// A Scheduler decides where every task runs while its process owns the fleet. It does no I/O:
-/// events and the time come in, orders go out through tick(). One object serves one term of
-/// ownership and starts from the stored jobs and from what the workers report.
+/// A Scheduler decides where every task runs while its process owns the fleet. It does no I/O: the
+/// caller passes in events and the time, carries out the actions that tick() returns, and reports
+/// their results. One object serves one term of ownership and builds its state from the stored
+/// jobs and from the status of the workers.
 class Scheduler
 {
 public:
-    /// `generation` counts the changes of ownership; run numbers of a later one are higher.
+    /// `generation` is the number of changes of ownership; run numbers of a later generation are
+    /// higher.
     Scheduler(SchedulerSettings settings, std::int64_t generation, Instant now);
 
-    /// Takes the rules now in force; jobs of a queue that was removed keep the rule they came with.
+    /// Sets the configuration of the queues unless a later version is known. Jobs of a removed
+    /// queue keep the configuration they were accepted with.
     void setQueues(ConfigVersion version, const std::vector<QueueRule> &queues);
-    /// Takes the complete list of workers from service discovery.
+    /// Sets the complete list of workers from service discovery.
     void setWorkers(const std::vector<WorkerInfo> &workers, Instant now);
-    /// Takes a stored job that was accepted at `accepted`; `progress` is what is recorded of it. An
-    /// inherited job may have been started by an earlier owner.
+    /// Adds a stored job that was accepted at `accepted`, with its recorded progress. An inherited
+    /// job may have been started by an earlier owner. Does nothing for a known job.
     void addJob(JobSpec spec, const JobProgress &progress, bool isInherited, Instant accepted);
+    /// Cancels a job and stops its runs. Does nothing for an unknown or ended job.
     void cancel(JobId id, Instant now);
-    /// Keeps new tasks off these workers and allows them on all others.
+    /// Cordons exactly these workers: they get no new tasks.
     void cordon(const std::set<WorkerId> &workers);
-    /// Records that an order which ends everything on the worker is sent, or that it failed.
-    void setTerminating(WorkerId worker, bool isEnding);
-    /// Records that a maintenance order has ended everything on the worker.
+    /// Records that a host command which ends all runs of the worker is in flight, or has failed.
+    void setTerminating(WorkerId worker, bool isTerminating);
+    /// Records that a host command has terminated the worker.
     void onWorkerTerminated(WorkerId worker, Instant now);
 
-    void onStartResult(const StartCommand &order, CallResult result, Instant now);
-    void onStopResult(const StopCommand &order, CallResult result, Instant now);
-    void onCpuLimitResult(const CpuLimitCommand &order, CallResult result, Instant now);
-    /// `look` is meaningful only with CallResult::Ok.
-    void onPollResult(const PollRequest &order, CallResult result, const WorkerStatus &look,
+    /// The following functions report the results of actions returned by tick().
+    void onStartResult(const StartCommand &command, CallResult result, Instant now);
+    void onStopResult(const StopCommand &command, CallResult result, Instant now);
+    void onCpuLimitResult(const CpuLimitCommand &command, CallResult result, Instant now);
+    /// `status` is meaningful only with CallResult::Ok; `sent` is when the poll was sent.
+    void onPollResult(const PollRequest &request, CallResult result, const WorkerStatus &status,
                       Instant sent, Instant now);
-    void onAdviceResult(const AdviceRequest &order, bool isAnswered,
+    void onAdviceResult(const AdviceRequest &request, bool isAnswered,
                         const std::vector<std::pair<WorkerId, std::string>> &tickets, Instant now);
     void onProgressWritten(std::uint64_t batch, bool isDurable, Instant now);
 
-    /// Decides at `now`; `wallMs` is the time of day in milliseconds since 1970. While `mayOrder`
-    /// is false, because ownership is in doubt, it only looks and extends leases.
-    std::vector<SchedulerAction> tick(Instant now, std::int64_t wallMs, bool mayOrder = true);
-    /// Returns when tick() should be called next if nothing happens before.
+    /// Returns the actions that are due at `now`; `wallMs` is the wall clock in milliseconds since
+    /// 1970. While ownership is in doubt, `maySendCommands` is false: then it only polls workers,
+    /// which also extends leases.
+    std::vector<SchedulerAction> tick(Instant now, std::int64_t wallMs,
+                                      bool maySendCommands = true);
+    /// Returns when to call tick() next if no event arrives before.
     Instant nextTick(Instant now) const;
 
-    /// Returns the decisions since the last call, for the log.
+    /// Returns and clears the decisions since the last call, for the log.
     std::vector<Decision> takeDecisions();
-    /// Returns how much each queue has waiting.
+    /// Returns the number of waiting jobs of each queue with active jobs.
     std::vector<QueueLoad> queueLoads() const;
     const std::map<WorkerId, WorkerState> &workers() const { return m_workers; }
     const std::map<JobId, TrackedJob> &jobs() const { return m_jobs; }
-    /// Returns whether maintenance may end what runs on `worker`: only runs whose step can miss it.
+    /// Returns whether maintenance may end all runs of `worker`: all are of long-running tasks
+    /// whose disruption budgets allow it.
     bool mayInterrupt(WorkerId worker) const;
-    /// Stops long-running tasks of these workers one by one, as their steps' budgets allow.
+    /// Stops long-running tasks of these workers as far as their steps' disruption budgets allow.
     void evacuate(const std::set<WorkerId> &workers, Instant now);
-    /// Returns what the work of each pool asks of its hosts.
+    /// Returns the capacity that the work of each pool requires.
     PoolDemands poolDemands(Instant now);
-    /// Takes the workers that the platform lists in a pool. Until all of them were read, tasks that
-    /// an earlier owner may have started there wait.
+    /// Sets the workers that the platform lists in a pool. Tasks that an earlier owner may have
+    /// started there wait until the runs of all of them were read.
     void setExpectedWorkers(ServiceId pool, std::vector<WorkerId> workers);
-    /// Takes the workers whose hosts are to be maintained soon: others are better for long runs.
+    /// Sets the workers whose hosts will be maintained soon. Long-running tasks prefer others.
     void setAwaitingMaintenance(std::set<WorkerId> workers)
     {
         m_awaitingMaintenance = std::move(workers);
     }
-    /// Returns whether every worker that may run tasks of the pool has been read.
+    /// Returns whether this owner has read the runs of every worker that may run tasks of the pool.
     bool isSynced(ServiceId pool) const;
 
 private:
@@ -98,26 +106,26 @@
         JobRank rank;
     };
 
-    /// How many tasks of a step are at work, as seen from one worker.
+    /// The number of a step's tasks that are ready, on one worker and elsewhere.
     struct StepPresence
     {
-        int elsewhere = 0; ///< Certainly at work on other workers.
-        int here = 0; ///< Certainly at work on this one.
-        int possiblyHere = 0; ///< Perhaps at work on this one.
+        int elsewhere = 0; ///< Certainly ready on other workers.
+        int here = 0; ///< Certainly ready on this worker.
+        int possiblyHere = 0; ///< Possibly ready on this worker.
     };
 
-    // Events.
+    // Handling of events.
     WorkerState *answeringWorker(WorkerId id, CallResult result, Instant now);
     std::pair<WorkerState *, WorkerRun *> findCommandedRun(WorkerId id, const TaskId &task,
                                                            std::int64_t number, CallResult result,
                                                            Instant now);
-    void handleStatus(WorkerState &worker, const WorkerStatus &look, Instant sent, Instant now);
+    void handleStatus(WorkerState &worker, const WorkerStatus &status, Instant sent, Instant now);
     void handleActiveRun(WorkerState &worker, const ActiveRun &row, Instant now);
     void handleEndedRun(WorkerState &worker, const EndedRun &ended, Instant now);
     void handleFailure(WorkerState &worker, TrackedJob &job, TrackedTask &task, const TaskId &id,
                        Instant now);
-    void avoid(WorkerState &worker, const char *why, Instant now);
-    void dropAllRuns(WorkerState &worker, const char *why, Instant now);
+    void avoid(WorkerState &worker, const char *reason, Instant now);
+    void dropAllRuns(WorkerState &worker, const char *reason, Instant now);
     void removeRun(WorkerState &worker, std::size_t index);
     void unplace(const WorkerRun &run, Instant now);
     WorkerRun *findRun(WorkerState &worker, const TaskId &task, std::int64_t run);
@@ -179,15 +187,15 @@
     std::set<JobId> m_active; ///< Jobs that have not ended.
     bool m_needsPlacement = true;
     Instant m_lastPlacement;
-    CongestionWindow m_startWindow; ///< Of start orders without an answer.
-    ServiceId m_firstPool; ///< Whose tasks are placed first next time.
+    CongestionWindow m_startWindow; ///< Limits the start commands in flight.
+    ServiceId m_firstPool; ///< The pool whose tasks are placed first next time.
     RunTimeModel m_runTimes;
     std::map<ServiceId, std::vector<WorkerId>> m_expectedWorkers;
     std::set<WorkerId> m_awaitingMaintenance;
-    std::map<ServiceId, ArrivalRate> m_arrivals; ///< Of work, in core-seconds a second.
+    std::map<ServiceId, ArrivalRate> m_arrivals; ///< Of work, in core-seconds per second.
     TicketCache m_tickets;
     std::set<JobId> m_dirty;
-    std::vector<JobId> m_expiredJobs; ///< Ended jobs whose records are to be dropped.
+    std::vector<JobId> m_expiredJobs; ///< Ended jobs whose records are to be deleted.
     std::uint64_t m_batch = 0;
     std::optional<std::uint64_t> m_batchInFlight;
     std::vector<JobId> m_batchJobs;
--- a/include/oleanderhall/scheduling/scheduleraction.h
+++ b/include/oleanderhall/scheduling/scheduleraction.h
@@ -10,7 +10,7 @@
 
 namespace oleanderhall {
 
-/// Start a run of a task. Idempotent for the same run.
+/// Starts a run, which is one numbered attempt to execute a task. Idempotent for the same run.
 struct StartCommand
 {
     WorkerId worker;
@@ -22,7 +22,7 @@
     Millis leaseExpiry{0}; ///< On the worker's clock.
 };
 
-/// Stop a run; a run that is not there yet is turned away for good.
+/// Stops a run. A run that has not arrived yet is refused from then on.
 struct StopCommand
 {
     WorkerId worker;
@@ -30,7 +30,7 @@
     std::int64_t run = 0;
 };
 
-/// Limit a run to a share of the processor.
+/// Limits a run to a percentage of the processor.
 struct CpuLimitCommand
 {
     WorkerId worker;
@@ -39,16 +39,17 @@
     int percent = 100;
 };
 
-/// Raise the fence, extend the lease of everything on the worker, read what runs and has ended.
+/// Raises the worker's fencing token, extends the lease of all its runs, and reads which runs are
+/// active and which have ended.
 struct PollRequest
 {
     WorkerId worker;
-    std::int64_t acknowledgedEnd = 0; ///< Ends up to this number are recorded and may be forgotten.
-    Millis leaseExpiry{0}; ///< On the worker's clock; 0 leaves the lease as it is.
-    Millis maxWait{0}; ///< The answer may wait this long for an end.
+    std::int64_t acknowledgedEnd = 0; ///< The worker may discard ended runs up to this sequence.
+    Millis leaseExpiry{0}; ///< On the worker's clock; 0 leaves the lease unchanged.
+    Millis maxWait{0}; ///< Long poll: the worker may delay its answer until a run ends.
 };
 
-/// Ask the queue's policy service which of the workers may run a step.
+/// Asks the queue's policy service which of the workers may run a step.
 struct AdviceRequest
 {
     JobId job;
@@ -57,7 +58,7 @@
     std::vector<WorkerId> workers;
 };
 
-/// Write the progress of jobs, and drop the records of old ones, in one transaction.
+/// Stores the progress of jobs and deletes the records of expired ones in one transaction.
 struct ProgressWrite
 {
     std::uint64_t batch = 0;
@@ -65,6 +66,7 @@
     std::vector<JobId> dropped;
 };
 
+/// An action that the Scheduler requests; its caller carries it out and reports the result.
 using SchedulerAction = std::variant<StartCommand, StopCommand, CpuLimitCommand, PollRequest,
                                      AdviceRequest, ProgressWrite>;
 
--- a/include/oleanderhall/scheduling/schedulersettings.h
+++ b/include/oleanderhall/scheduling/schedulersettings.h
@@ -6,43 +6,47 @@
 
 namespace oleanderhall {
 
-/// The limits that a Scheduler works with. Those named after a bound of the platform are set from
-/// the process's settings; the others are the project's own.
+/// The limits and intervals of a Scheduler. Those marked as a platform limit are set from the
+/// process's settings.
 struct SchedulerSettings
 {
-    /// How long a worker goes on without hearing from the owner. Longer than an owner's change of
-    /// hands, so that running work survives it; a silent worker's tasks wait this long.
+    /// How long a worker keeps its runs without contact to the owner. It exceeds the duration of a
+    /// change of owner, so that runs survive one. Tasks of an unresponsive worker are started
+    /// elsewhere only after this time.
     Millis workerLease{5000};
-    /// How long a task that an earlier owner may have started where this one can't look stays
-    /// blocked: the worker's lease, and the time for which an owner extends leases without the
-    /// table.
+    /// How long a task waits that an earlier owner may have started on a worker that this owner
+    /// can't read: the worker's lease plus the time for which an owner extends leases without
+    /// access to the table.
     Millis inheritedTaskDelay{7000};
-    /// How long after a take-over jobs count as possibly started by the earlier owner.
+    /// Jobs accepted within this time after a take-over count as possibly started by the earlier
+    /// owner, which may not know yet that it was replaced.
     Millis takeoverOverlap{2000};
-    /// How long a stop may take at the worker (a bound of the platform).
+    /// How long a worker may take to stop a run (platform limit).
     Millis stopTimeout{400};
-    /// How long the state of an ended job stays readable (a bound of the platform).
+    /// How long the state of an ended job stays readable (platform limit).
     Millis statusLifetime{120000};
-    /// The longest time that a look waits at the worker for an end; the platform allows 2,000 ms.
+    /// The longest time that a poll waits at the worker for a run to end; the platform allows
+    /// 2,000 ms.
     Millis pollWait{1500};
-    /// Ends that follow one another within this time are read by one look, as looks are priced.
+    /// Delay before the next poll after a run has ended, so that one poll reads several ends: each
+    /// poll is charged for.
     Millis pollSpacing{40};
-    /// A start or stop without an answer is sent again after this time.
+    /// Delay before a start or stop that was not answered is sent again.
     Millis commandRetryDelay{250};
-    /// Times that a start is sent before its run is given up and stopped.
+    /// How often a start is sent before its run is abandoned and stopped.
     int maxStartAttempts = 3;
-    /// A worker that looked bad gets no new tasks for this time, doubled with each relapse.
+    /// How long a worker that is suspected to be faulty gets no new tasks; doubled each time.
     Millis avoidDuration{3000};
-    /// A task whose progress stands still for this long is stopped and started elsewhere.
+    /// A run without progress for this long is stopped, and its task is started elsewhere.
     Millis stallTimeout{2000};
-    /// Progress that changes no outcome is recorded at the latest after this time.
+    /// The longest delay before progress that changes no outcome is recorded.
     Millis maxRecordDelay{400};
-    /// Between two transactions that record progress; each is priced.
+    /// The shortest time between two transactions that record progress; each is charged for.
     Millis recordInterval{50};
-    /// How many jobs one transaction records: each takes up to three of the 100 entries that the
-    /// platform allows, and the term's row one.
+    /// Jobs per transaction. Each job takes up to three of the 100 entries that the platform
+    /// allows, and the row of the owner's term takes one.
     std::size_t maxJobsPerWrite = 30;
-    /// How much slower a worker's clock may run (2 % by the platform's word).
+    /// The fraction by which a worker's clock may run slow; the platform specifies 2 %.
     double clockDrift = 0.02;
 };
 
--- a/include/oleanderhall/scheduling/ticketcache.h
+++ b/include/oleanderhall/scheduling/ticketcache.h
@@ -13,7 +13,8 @@
 
 namespace oleanderhall {
 
-/// Tickets keeps what the policy service answered: which workers may run a step, and until when.
+/// A TicketCache holds the answers of the policy service: which workers may run a step, and until
+/// when.
 class TicketCache
 {
 public:
@@ -25,19 +26,21 @@
         friend auto operator<=>(const StepKey &, const StepKey &) = default;
     };
 
-    /// Returns the ticket of `worker` for `step`, or nothing usable when empty.
+    /// Returns the ticket of `worker` for `step`, or an empty string if none is valid at `now`.
     std::string find(const StepKey &step, WorkerId worker, Instant now) const;
-    /// Returns whether a question about `step` is on its way.
+    /// Returns whether a request for `step` is in flight.
     bool isRequestPending(const StepKey &step) const { return m_pendingRequests.contains(step); }
     void addPendingRequest(const StepKey &step) { m_pendingRequests.insert(step); }
-    /// Returns whether `worker` was asked about and may not run the step.
+    /// Returns whether the policy service has denied `step` to `worker`.
     bool isDenied(const StepKey &step, WorkerId worker) const;
-    void handleAnswer(const StepKey &step, const std::vector<WorkerId> &asked, bool isAnswered,
+    /// Ends the pending request for `step`. Workers of `requested` without a ticket count as
+    /// denied; without an answer nothing changes for any worker.
+    void handleAnswer(const StepKey &step, const std::vector<WorkerId> &requested, bool isAnswered,
                       const std::vector<std::pair<WorkerId, std::string>> &tickets,
                       Instant validUntil);
-    /// Forgets one ticket that a worker turned away.
+    /// Removes a ticket that the worker rejected.
     void removeTicket(const StepKey &step, WorkerId worker);
-    /// Forgets all steps of a job.
+    /// Removes all entries of a job.
     void removeJob(JobId job);
 
 private:
--- a/include/oleanderhall/scheduling/trackedjob.h
+++ b/include/oleanderhall/scheduling/trackedjob.h
@@ -13,20 +13,20 @@
 
 namespace oleanderhall {
 
-/// What the owner knows of one task.
+/// The owner's in-memory state of one task.
 struct TrackedTask
 {
     bool isDone = false;
-    bool isPlaced = false; ///< A run of it exists or may exist.
-    bool mayRunOnUnsyncedWorker = false; ///< An earlier owner may have started it where this one
-                                         ///< can't look.
+    bool isPlaced = false; ///< A run of it exists, or may exist.
+    /// An earlier owner may have started it on a worker whose runs this owner has not read.
+    bool mayRunOnUnsyncedWorker = false;
     int failures = 0;
-    std::int64_t lastRun = 0; ///< The highest run number given out or seen.
-    /// Runs whose end was noted. Workers are read in any order, so that an earlier run's end may
-    /// come after a later one's.
+    std::int64_t lastRun = 0; ///< The highest run number assigned or reported.
+    /// Runs whose end was handled. Workers are polled in any order, so the end of an earlier run
+    /// may be reported after that of a later one.
     std::vector<std::int64_t> endedRuns;
-    WorkerId worker; ///< Of the current run, when placed.
-    std::vector<WorkerId> failedOn;
+    WorkerId worker; ///< Of the current run, if the task is placed.
+    std::vector<WorkerId> failedOn; ///< Workers where a run failed or stalled.
     std::string checkpoint;
     Instant waitingSince;
 
@@ -36,41 +36,42 @@
     }
 };
 
-/// One step of one occurrence.
+/// The owner's in-memory state of one step of one occurrence.
 struct TrackedStep
 {
     std::vector<TrackedTask> tasks;
     int doneTasks = 0;
     int placedTasks = 0;
-    int gangFailures = 0;
-    std::int64_t lastGangRun = 0;
+    int gangFailures = 0; ///< Of all tasks of a gang together.
+    std::int64_t lastGangRun = 0; ///< The run number that the gang's tasks share.
 
     bool isComplete() const { return doneTasks == static_cast<int>(tasks.size()); }
 };
 
-/// One occurrence of a job; a job that runs once has one, due at once.
+/// One occurrence of a recurring job. A job that runs once has one occurrence, due immediately.
 struct Occurrence
 {
     int number = 0;
     std::vector<TrackedStep> steps;
 };
 
-/// What the owner knows of one job.
+/// The owner's in-memory state of one job. A job's tasks may start only after its release, a
+/// durable record that they may have been started, so that a later owner looks for their runs.
 struct TrackedJob
 {
     JobSpec spec;
     JobState state = JobState::Queued;
     bool isCancelled = false;
     bool isInherited = false; ///< Accepted before this owner took over.
-    bool isReleased = false; ///< It is to be recorded, or is recorded, that it may start.
-    bool isReleaseInBatch = false; ///< The record under way says so.
-    bool isReleaseRecorded = false; ///< That is recorded.
+    bool isReleased = false; ///< Its release is decided; it may not be recorded yet.
+    bool isReleaseInBatch = false; ///< The write in flight contains its release.
+    bool isReleaseRecorded = false; ///< Its release is durable, so its tasks may start.
     Instant accepted;
     Instant ended;
     std::vector<Occurrence> occurrences;
-    std::vector<TaskProgress> inheritedProgress; ///< Recorded by earlier owners.
-    bool isDirty = false; ///< Its progress must be recorded at once.
-    bool isLazilyDirty = false; ///< Its progress may be recorded with the next batch.
+    std::vector<TaskProgress> inheritedProgress; ///< As recorded by earlier owners.
+    bool isDirty = false; ///< Its progress must be recorded without delay.
+    bool isLazilyDirty = false; ///< Its progress may wait up to SchedulerSettings::maxRecordDelay.
     Instant lazilyDirtySince;
     bool isRecorded = true; ///< The latest progress is durable.
 
--- a/include/oleanderhall/scheduling/workerinfo.h
+++ b/include/oleanderhall/scheduling/workerinfo.h
@@ -8,10 +8,10 @@
 
 namespace oleanderhall {
 
-/// Names one life of a host's worker process. A worker that restarts has a new id.
+/// Identifies one incarnation of a host's worker process; a restarted worker has a new id.
 using WorkerId = StrongId<struct WorkerTag>;
 
-/// What a worker's entry in service discovery says of it.
+/// A worker's entry in service discovery.
 struct WorkerInfo
 {
     WorkerId id;
--- a/include/oleanderhall/scheduling/workerstate.h
+++ b/include/oleanderhall/scheduling/workerstate.h
@@ -12,41 +12,41 @@
 
 namespace oleanderhall {
 
-/// One run of a task on a worker, from the decision to start it until it is known to be over.
+/// One run of a task on a worker, from the decision to start it until it is known to have ended.
 struct WorkerRun
 {
     enum class Phase {
-        Starting, ///< Ordered, and not yet known to be there.
+        Starting, ///< The start was sent and is not confirmed yet.
         Running,
-        Stopping, ///< To be stopped; it still counts against the worker's room.
+        Stopping, ///< To be stopped; its reservation still counts.
     };
 
     TaskId task;
     std::int64_t run = 0;
     Phase phase = Phase::Starting;
-    Resources reservation; ///< That count against the worker's room.
-    bool usesIdleCores = false;
+    Resources reservation; ///< Subtracted from the worker's free capacity.
+    bool usesIdleCores = false; ///< Reserves no cores.
     bool isLongRunning = false;
     Millis latencyTarget{0};
     Instant startSent; ///< When the start was first sent.
-    Instant runningSince; ///< When the run was first known to be there.
-    Instant nextSend; ///< When a start or stop is to be sent (again).
+    Instant runningSince; ///< When the run was first known to be active.
+    Instant nextSend; ///< When to send the start or stop, or to repeat it.
     bool isCommandInFlight = false;
     int startAttempts = 0;
-    bool mayHaveStarted = false; ///< A start of it went unanswered.
+    bool mayHaveStarted = false; ///< A start command was not answered.
     bool isStopConfirmed = false;
     Instant stopConfirmedAt;
     int progressPercent = 0;
-    Instant lastProgress; ///< When `percent` last rose.
+    Instant lastProgress; ///< When `progressPercent` last changed.
     std::string checkpoint;
     std::int64_t recentLoad = 0;
-    int cpuLimitPercent = 100;
+    int cpuLimitPercent = 100; ///< As last confirmed by the worker.
     int targetCpuLimitPercent = 100;
     bool isCpuLimitInFlight = false;
-    Instant overTargetSince; ///< Of a serving task; epoch when under its target.
+    Instant overTargetSince; ///< Of a serving task; the epoch while it meets its target.
 };
 
-/// What the owner knows of one worker.
+/// The owner's in-memory state of one worker.
 struct WorkerState
 {
     WorkerState(WorkerInfo entry, double clockDrift)
@@ -57,23 +57,24 @@
     WorkerInfo info;
     LeaseClock clock;
     std::vector<WorkerRun> runs;
-    Resources used;
-    bool isListed = true; ///< Its entry is in service discovery.
-    bool isSynced = false; ///< Its fence was raised and its runs read by this owner.
-    bool hasTerminated = false; ///< Another life answered at its address.
-    bool isCordoned = false; ///< Maintenance wants no new tasks here.
-    bool isTerminating = false; ///< An order to its host that ends everything here is under way.
+    Resources used; ///< Sum of the reservations of `runs`.
+    bool isListed = true; ///< It has an entry in service discovery.
+    bool isSynced = false; ///< This owner has raised its fencing token and read its runs.
+    bool hasTerminated = false; ///< Another incarnation runs at its address, or its host was
+                                ///< maintained.
+    bool isCordoned = false; ///< Maintenance keeps new tasks off it.
+    bool isTerminating = false; ///< A host command that ends all its runs is in flight.
     bool isPollInFlight = false;
-    int failedPolls = 0; ///< Calls in a row without an answer.
+    int failedPolls = 0; ///< Number of consecutive polls that failed.
     Instant nextPoll;
-    Instant nextCpuLimitChange; ///< When the pace of filling runs may change again.
-    std::int64_t lastHandledEnd = 0; ///< The highest end that was acted on.
-    std::int64_t lastRecordedEnd = 0; ///< The highest end whose effect is durable.
-    std::int64_t lastAcknowledgedEnd = 0; ///< The highest end that the worker was told to forget.
-    std::int64_t lastEndInBatch = 0; ///< Becomes `recorded` with the batch in flight.
-    Instant avoidUntil;
-    int timesAvoided = 0;
-    JobId lastFailedJob; ///< Of the latest failed run; others must fail before it is held bad.
+    Instant nextCpuLimitChange; ///< When the CPU limits of its runs may change again.
+    std::int64_t lastHandledEnd = 0; ///< The highest sequence of an end that was handled.
+    std::int64_t lastRecordedEnd = 0; ///< The highest sequence whose effect is durable.
+    std::int64_t lastAcknowledgedEnd = 0; ///< The highest sequence that the worker may discard.
+    std::int64_t lastEndInBatch = 0; ///< Becomes `lastRecordedEnd` once the write is durable.
+    Instant avoidUntil; ///< It gets no new tasks before.
+    int timesAvoided = 0; ///< Since a task last succeeded here; each one doubles the time.
+    JobId lastFailedJob; ///< The worker is avoided when a run of another job fails next.
 
     Resources freeCapacity() const { return info.capacity - used; }
     bool acceptsNewTasks(Instant now) const
--- a/include/oleanderhall/scheduling/workerstatus.h
+++ b/include/oleanderhall/scheduling/workerstatus.h
@@ -9,34 +9,34 @@
 
 namespace oleanderhall {
 
-/// One run that a worker reports as present.
+/// A run that a worker reports as active.
 struct ActiveRun
 {
     TaskId task;
     std::int64_t run = 0;
     std::string checkpoint;
-    int progressPercent = 0; ///< Of the work; of a long-running task, 100 once it is at work.
-    /// Tail latency in milliseconds of a serving task; else the cores in use, in thousandths.
+    int progressPercent = 0; ///< For a long-running task, 100 once it is ready.
+    /// Tail latency in milliseconds of a serving task; for others the used CPU in millicores.
     std::int64_t recentLoad = 0;
 };
 
-/// How a run ended.
+/// How a run ended. Only `Failed` counts as a failed attempt of its task.
 enum class RunOutcome { Done, Failed, Stopped, LeaseExpired, Broken, Alone };
 
-/// One ended run that a worker keeps until it is acknowledged.
+/// An ended run, which the worker reports until it is acknowledged.
 struct EndedRun
 {
-    std::int64_t sequence = 0; ///< Counts the worker's ends from 1 in each life.
+    std::int64_t sequence = 0; ///< Counts ended runs from 1 in each incarnation of a worker.
     TaskId task;
     std::int64_t run = 0;
     RunOutcome runOutcome = RunOutcome::Failed;
     std::string checkpoint;
 };
 
-/// A worker's answer to a look: what runs there and what has ended.
+/// A worker's answer to a poll: its active runs and its unacknowledged ended runs.
 struct WorkerStatus
 {
-    Millis clock{0}; ///< The worker's own steady clock when it answered.
+    Millis clock{0}; ///< The worker's monotonic clock when it answered.
     std::vector<ActiveRun> running;
     std::vector<EndedRun> ended;
 };
--- a/src/scheduling/arrivalrate.cpp
+++ b/src/scheduling/arrivalrate.cpp
@@ -7,8 +7,8 @@
 double ArrivalRate::decayed(Instant now) const
 {
     const std::chrono::duration<double> elapsed = now - m_updated;
-    const std::chrono::duration<double> memory = m_timeConstant;
-    return m_decayedSum * std::exp(-elapsed.count() / memory.count());
+    const std::chrono::duration<double> timeConstant = m_timeConstant;
+    return m_decayedSum * std::exp(-elapsed.count() / timeConstant.count());
 }
 
 void ArrivalRate::add(double amount, Instant now)
@@ -19,8 +19,8 @@
 
 double ArrivalRate::rate(Instant now) const
 {
-    const std::chrono::duration<double> memory = m_timeConstant;
-    return decayed(now) / memory.count();
+    const std::chrono::duration<double> timeConstant = m_timeConstant;
+    return decayed(now) / timeConstant.count();
 }
 
 } // namespace oleanderhall
--- a/src/scheduling/congestionwindow.cpp
+++ b/src/scheduling/congestionwindow.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// More than a quarter of the orders without an answer is more than a lost zone of four explains.
+/// The window halves when more than one command in this many times out. The loss of one of four
+/// availability zones explains a quarter of time-outs, so only more than that means congestion.
 constexpr std::size_t kCongestionDivisor = 4;
 
 } // namespace
@@ -16,7 +17,7 @@
     if (m_inFlight > 0)
         --m_inFlight;
     if (m_sentBeforeHalving > 0) {
-        --m_sentBeforeHalving; // it was sent under the larger window
+        --m_sentBeforeHalving; // sent under the larger window, so it says nothing about this one
         return;
     }
     ++m_completed;
--- a/src/scheduling/jobrank.cpp
+++ b/src/scheduling/jobrank.cpp
@@ -6,14 +6,13 @@
 
 namespace {
 
-/// After this many times its objective, a late job is of no use to its caller (the platform's
-/// word).
+/// The platform specifies that a job's result is useless after this many times its objective.
 constexpr double kExpiredAfterObjectives = 3;
-// Of a job's worth, a part does not depend on its size, and large ones are capped (the platform's
-// word).
+// The platform specifies the value of a job: a fixed part plus a part in proportion to its size,
+// limited for large jobs.
 constexpr double kFixedValue = 0.3;
 constexpr double kMaxValue = 4;
-constexpr double kMinWorkCoreSeconds = 0.001; // core-seconds; keeps divisions finite
+constexpr double kMinWorkCoreSeconds = 0.001; // avoids division by zero
 
 double seconds(Millis time)
 {
@@ -31,14 +30,13 @@
     JobRank rank{.priority = facts.priority};
     if (finish > kExpiredAfterObjectives * objective) {
         rank.timeliness = JobRank::Timeliness::Expired;
-        rank.negatedValueDensity = -seconds(
-            facts.age); // the oldest first, so that each has its turn
+        rank.negatedValueDensity = -seconds(facts.age); // the oldest first, so that none starves
         return rank;
     }
     rank.timeliness = finish <= objective ? JobRank::Timeliness::InTime : JobRank::Timeliness::Late;
     const double size = facts.totalWork / std::max(facts.meanWork, kMinWorkCoreSeconds);
-    const double worth = std::min(kMaxValue, kFixedValue + (1 - kFixedValue) * size);
-    rank.negatedValueDensity = -worth / std::max(facts.workLeft, kMinWorkCoreSeconds);
+    const double value = std::min(kMaxValue, kFixedValue + (1 - kFixedValue) * size);
+    rank.negatedValueDensity = -value / std::max(facts.workLeft, kMinWorkCoreSeconds);
     return rank;
 }
 
--- a/src/scheduling/leaseclock.cpp
+++ b/src/scheduling/leaseclock.cpp
@@ -4,14 +4,14 @@
 
 namespace oleanderhall {
 
-void LeaseClock::update(Millis clock, Instant heard)
+void LeaseClock::update(Millis clock, Instant receivedAt)
 {
-    // Answers on different connections may overtake each other: keep the one that is furthest on.
+    // Answers on different connections may arrive out of order: keeps the latest time.
     if (m_isKnown && clock < m_observedTime)
         return;
     m_isKnown = true;
     m_observedTime = clock;
-    m_observedAt = heard;
+    m_observedAt = receivedAt;
 }
 
 Millis LeaseClock::latestTime(Instant now) const
@@ -19,14 +19,14 @@
     return m_observedTime + std::chrono::duration_cast<Millis>(now - m_observedAt);
 }
 
-void LeaseClock::recordGranted(Millis end)
+void LeaseClock::recordGranted(Millis expiry)
 {
-    m_grantedExpiry = std::max(m_grantedExpiry, end);
+    m_grantedExpiry = std::max(m_grantedExpiry, expiry);
 }
 
-void LeaseClock::recordConfirmed(Millis end)
+void LeaseClock::recordConfirmed(Millis expiry)
 {
-    m_confirmedExpiry = std::max(m_confirmedExpiry, end);
+    m_confirmedExpiry = std::max(m_confirmedExpiry, expiry);
 }
 
 bool LeaseClock::allLeasesExpired(Instant now, Millis slack) const
--- a/src/scheduling/runtimemodel.cpp
+++ b/src/scheduling/runtimemodel.cpp
@@ -6,23 +6,23 @@
 
 namespace {
 
-constexpr double
-    kObservationWeight = 0.05; // of a new observation, once the first ones are averaged
+// The weight of a new observation, once enough were averaged with equal weights.
+constexpr double kObservationWeight = 0.05;
 constexpr int kManyTasks = 4;
-constexpr double kMaxEstimateRatio = 10; // one absurd estimate must not spoil the mean
+constexpr double kMaxEstimateRatio = 10; // keeps one bad estimate from distorting the mean
 
 } // namespace
 
-void RunTimeModel::observe(const std::string &queue, Millis estimate, Millis took)
+void RunTimeModel::observe(const std::string &queue, Millis estimate, Millis runTime)
 {
-    QueueStatistics &learned = m_queues[queue];
-    ++learned.observations;
-    const double weight = std::max(kObservationWeight, 1.0 / learned.observations);
-    const auto milliseconds = static_cast<double>(took.count());
-    learned.meanRunTimeMs += weight * (milliseconds - learned.meanRunTimeMs);
+    QueueStatistics &statistics = m_queues[queue];
+    ++statistics.observations;
+    const double weight = std::max(kObservationWeight, 1.0 / statistics.observations);
+    const auto milliseconds = static_cast<double>(runTime.count());
+    statistics.meanRunTimeMs += weight * (milliseconds - statistics.meanRunTimeMs);
     const double ratio = milliseconds / std::max(1.0, static_cast<double>(estimate.count()));
-    learned.meanEstimateRatio += weight
-        * (std::min(ratio, kMaxEstimateRatio) - learned.meanEstimateRatio);
+    statistics.meanEstimateRatio += weight
+        * (std::min(ratio, kMaxEstimateRatio) - statistics.meanEstimateRatio);
 }
 
 Millis RunTimeModel::expected(const std::string &queue, const StepSpec &step) const
@@ -30,14 +30,16 @@
     const auto found = m_queues.find(queue);
     if (found == m_queues.end() || found->second.observations == 0)
         return step.estimate;
-    const QueueStatistics &learned = found->second;
-    const double told = static_cast<double>(step.estimate.count()) * learned.meanEstimateRatio;
-    return Millis(static_cast<Millis::rep>((told + learned.meanRunTimeMs) / 2));
+    const QueueStatistics &statistics = found->second;
+    const double corrected = static_cast<double>(step.estimate.count())
+        * statistics.meanEstimateRatio;
+    return Millis(static_cast<Millis::rep>((corrected + statistics.meanRunTimeMs) / 2));
 }
 
 Millis RunTimeModel::longest(const std::string &queue, const StepSpec &step) const
 {
-    // Tasks of a step differ by up to a third; the more there are, the nearer one comes to that.
+    // Run times within a step differ by up to a third. The more tasks a step has, the closer its
+    // longest one comes to that.
     const double spread = step.count == 1 ? 1 : step.count < kManyTasks ? 1.12 : 1.22;
     const Millis typical = expected(queue, step);
     return Millis(static_cast<Millis::rep>(static_cast<double>(typical.count()) * spread));
@@ -45,9 +47,9 @@
 
 void RunTimeModel::observeWork(const std::string &queue, double coreSeconds)
 {
-    QueueStatistics &learned = m_queues[queue];
-    learned.meanJobWork += (learned.meanJobWork == 0 ? 1 : kObservationWeight)
-        * (coreSeconds - learned.meanJobWork);
+    QueueStatistics &statistics = m_queues[queue];
+    statistics.meanJobWork += (statistics.meanJobWork == 0 ? 1 : kObservationWeight)
+        * (coreSeconds - statistics.meanJobWork);
 }
 
 double RunTimeModel::meanWork(const std::string &queue) const
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -73,7 +73,8 @@
     job.spec = std::move(spec);
     job.state = progress.state;
     job.accepted = accepted;
-    // An owner that does not know yet that it was replaced may start new jobs for a while, too.
+    // An owner that does not know yet that it was replaced may go on starting new jobs for a
+    // while.
     job.isInherited = isInherited || accepted - m_termStart < m_settings.takeoverOverlap;
     job.inheritedProgress = progress.tasks;
     job.isReleased = progress.isReleased;
@@ -171,12 +172,12 @@
     }
 }
 
-void Scheduler::setTerminating(WorkerId worker, bool isEnding)
+void Scheduler::setTerminating(WorkerId worker, bool isTerminating)
 {
     const auto found = m_workers.find(worker);
     if (found == m_workers.end())
         return;
-    found->second.isTerminating = isEnding;
+    found->second.isTerminating = isTerminating;
     m_needsPlacement = true;
 }
 
@@ -309,14 +310,15 @@
 
 bool Scheduler::isSynced(ServiceId pool) const
 {
-    const bool areListedRead = std::all_of(
+    const bool areListedSynced = std::all_of(
         m_workers.begin(), m_workers.end(), [&](const auto &entry) {
             const WorkerState &worker = entry.second;
             return worker.info.pool != pool || worker.isSynced || worker.hasTerminated;
         });
-    // A worker that is cut off may have lost its entry in service discovery and run on.
+    // A worker behind a network partition may lose its entry in service discovery while its runs
+    // go on, so the platform's list of workers must be covered, too.
     const auto expected = m_expectedWorkers.find(pool);
-    return areListedRead && expected != m_expectedWorkers.end()
+    return areListedSynced && expected != m_expectedWorkers.end()
         && std::all_of(expected->second.begin(), expected->second.end(), [&](WorkerId id) {
                const auto found = m_workers.find(id);
                return found != m_workers.end()
--- a/src/scheduling/schedulerbudget.cpp
+++ b/src/scheduling/schedulerbudget.cpp
@@ -1,11 +1,12 @@
-// What maintenance may end without taking too many tasks of a step away at once.
+// Disruption budgets: which runs maintenance may end without exceeding the number of tasks that a
+// step can miss.
 #include "oleanderhall/scheduling/scheduler.h"
 
 namespace oleanderhall {
 
 namespace {
 
-constexpr int kReadyPercent = 100; // percent
+constexpr int kReadyPercent = 100;
 
 } // namespace
 
@@ -17,16 +18,16 @@
             if (peer.task.job != id.job || peer.task.occurrence != id.occurrence
                 || peer.task.step != id.step)
                 continue;
-            const bool isAtWork = peer.phase == WorkerRun::Phase::Running
+            const bool isReady = peer.phase == WorkerRun::Phase::Running
                 && peer.progressPercent >= kReadyPercent && worker.failedPolls == 0
                 && !worker.isTerminating;
             if (workerId != here) {
-                presence.elsewhere += isAtWork ? 1 : 0;
+                presence.elsewhere += isReady ? 1 : 0;
                 continue;
             }
-            presence.here += isAtWork ? 1 : 0;
-            // It may have got to work since the last look. What is being stopped counts as away: an
-            // order of ours ends it.
+            presence.here += isReady ? 1 : 0;
+            // A run may have become ready since the last poll. One that is being stopped counts as
+            // missing already, because this owner's stop command ends it.
             presence.possiblyHere += peer.phase != WorkerRun::Phase::Stopping ? 1 : 0;
         }
     }
@@ -44,11 +45,11 @@
             if (!run.isLongRunning || !spec || run.phase != WorkerRun::Phase::Running)
                 continue;
             const StepPresence presence = presenceOf(run.task, id);
-            const int itself = run.progressPercent >= kReadyPercent
+            const int readyHere = run.progressPercent >= kReadyPercent
                     && found->second.failedPolls == 0
                 ? 1
                 : 0;
-            const int others = presence.elsewhere + presence.here - itself;
+            const int others = presence.elsewhere + presence.here - readyHere;
             if (spec->mayMiss >= 0 && spec->count - others > spec->mayMiss)
                 continue;
             logDecision({"run_evacuated", {{"task", textOf(run.task)}, {"worker", id.name()}}});
@@ -70,7 +71,7 @@
             return false;
         if (spec->mayMiss < 0)
             continue;
-        // All that are here end together.
+        // All runs on the worker end at the same time.
         const StepPresence presence = presenceOf(run.task, id);
         if (presence.possiblyHere > 0 && spec->count - presence.elsewhere > spec->mayMiss)
             return false;
--- a/src/scheduling/schedulerdemand.cpp
+++ b/src/scheduling/schedulerdemand.cpp
@@ -1,4 +1,4 @@
-// How many cores each pool's work asks for.
+// How many cores the work of each pool requires.
 #include "oleanderhall/scheduling/scheduler.h"
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr double kMilliCoresPerCore = 1000;
-/// The work of a pool is to be done within this share of its jobs' time objective.
+/// Plans for finishing the work of a pool within this share of its jobs' objective.
 constexpr double kObjectiveShare = 0.5;
-constexpr double kMinHorizonSeconds = 1; // s; a host takes longer than this to join
-constexpr double kLookAheadSeconds = 1.5; // s of arrivals, as long as a move takes
+constexpr double kMinHorizonSeconds = 1; // a host takes longer than this to join
+constexpr double kLookAheadSeconds = 1.5; // as long as moving a host to the pool takes
 
 } // namespace
 
--- a/src/scheduling/schedulerevents.cpp
+++ b/src/scheduling/schedulerevents.cpp
@@ -1,4 +1,4 @@
-// What the Scheduler learns from answers to its orders.
+// Handling of the results of commands, polls and writes.
 #include "oleanderhall/scheduling/scheduler.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis kCapacityRetryDelay{300}; // for a worker that holds more than the owner thought
+constexpr Millis kCapacityRetryDelay{300}; // a full worker may soon have capacity again
 constexpr int kMaxAvoidDoublings = 4;
 
 } // namespace
@@ -48,12 +48,12 @@
     run.nextSend = now;
 }
 
-void Scheduler::dropAllRuns(WorkerState &worker, const char *why, Instant now)
+void Scheduler::dropAllRuns(WorkerState &worker, const char *reason, Instant now)
 {
     if (!worker.runs.empty()) {
         logDecision({"runs_lost",
                      {{"worker", worker.info.id.name()},
-                      {"reason", why},
+                      {"reason", reason},
                       {"runs", std::to_string(worker.runs.size())}},
                      true});
     }
@@ -67,7 +67,7 @@
     m_needsPlacement = true;
 }
 
-void Scheduler::avoid(WorkerState &worker, const char *why, Instant now)
+void Scheduler::avoid(WorkerState &worker, const char *reason, Instant now)
 {
     if (now < worker.avoidUntil)
         return;
@@ -76,12 +76,13 @@
     ++worker.timesAvoided;
     logDecision({"worker_avoided",
                  {{"worker", worker.info.id.name()},
-                  {"reason", why},
+                  {"reason", reason},
                   {"relapses", std::to_string(worker.timesAvoided)}},
                  true});
 }
 
-/// Returns the worker that an answer is from, or nothing when it is not known any more or over.
+/// Returns the worker that a result is about, or nullptr if it is not known any more or has
+/// terminated.
 WorkerState *Scheduler::answeringWorker(WorkerId id, CallResult result, Instant now)
 {
     const auto found = m_workers.find(id);
@@ -90,11 +91,12 @@
     if (result != CallResult::OtherIncarnation)
         return &found->second;
     found->second.hasTerminated = true;
-    dropAllRuns(found->second, "another life answered", now);
+    dropAllRuns(found->second, "another incarnation answered", now);
     return nullptr;
 }
 
-/// Returns the run that an answer is about, with its worker; no run when it is not known any more.
+/// Returns the worker and the run that a command was sent to; the run is nullptr if it is not known
+/// any more.
 std::pair<WorkerState *, WorkerRun *> Scheduler::findCommandedRun(WorkerId id, const TaskId &task,
                                                                   std::int64_t number,
                                                                   CallResult result, Instant now)
@@ -106,26 +108,26 @@
     return {worker, run};
 }
 
-void Scheduler::onStartResult(const StartCommand &order, CallResult result, Instant now)
+void Scheduler::onStartResult(const StartCommand &command, CallResult result, Instant now)
 {
     if (!m_startWindow.isOpen())
         m_needsPlacement = true;
     m_startWindow.onCompleted(result != CallResult::Unknown && result != CallResult::NotSent);
-    const auto [answering, run] = findCommandedRun(order.worker, order.task, order.run, result,
-                                                   now);
+    const auto [answering, run] = findCommandedRun(command.worker, command.task, command.run,
+                                                   result, now);
     if (!run)
         return;
     WorkerState &worker = *answering;
     if (result != CallResult::Ok) {
         logDecision({"start_not_confirmed",
-                     {{"task", textOf(order.task)},
-                      {"run", std::to_string(order.run)},
-                      {"worker", order.worker.name()},
+                     {{"task", textOf(command.task)},
+                      {"run", std::to_string(command.run)},
+                      {"worker", command.worker.name()},
                       {"result", nameOf(result)}}});
     }
     switch (result) {
     case CallResult::Ok:
-        worker.clock.recordConfirmed(order.leaseExpiry);
+        worker.clock.recordConfirmed(command.leaseExpiry);
         if (run->phase == WorkerRun::Phase::Starting) {
             run->phase = WorkerRun::Phase::Running;
             run->runningSince = now;
@@ -134,7 +136,7 @@
         return;
     case CallResult::Unknown:
         run->mayHaveStarted = true;
-        worker.nextPoll = now; // one lost answer says little of the worker; the look tells
+        worker.nextPoll = now; // one lost answer does not prove a fault; the poll tells
         break;
     case CallResult::NotSent:
         worker.nextPoll = now;
@@ -149,8 +151,8 @@
         worker.nextPoll = now;
         break;
     case CallResult::TicketRejected:
-        m_tickets.removeTicket({order.task.job, order.task.occurrence, order.task.step},
-                               order.worker);
+        m_tickets.removeTicket({command.task.job, command.task.occurrence, command.task.step},
+                               command.worker);
         break;
     case CallResult::RunTooOld:
     case CallResult::TooLate:
@@ -160,7 +162,7 @@
         break;
     }
     if (run->phase != WorkerRun::Phase::Starting)
-        return; // being stopped already
+        return; // it is being stopped already
     if (run->mayHaveStarted) {
         if (run->startAttempts < m_settings.maxStartAttempts && result != CallResult::RunTooOld)
             run->nextSend = now + m_settings.commandRetryDelay;
@@ -173,10 +175,10 @@
     unplace(ended, now);
 }
 
-void Scheduler::onStopResult(const StopCommand &order, CallResult result, Instant now)
+void Scheduler::onStopResult(const StopCommand &command, CallResult result, Instant now)
 {
-    const auto [answering, run] = findCommandedRun(order.worker, order.task, order.run, result,
-                                                   now);
+    const auto [answering, run] = findCommandedRun(command.worker, command.task, command.run,
+                                                   result, now);
     if (!run)
         return;
     WorkerState &worker = *answering;
@@ -189,33 +191,33 @@
     run->nextSend = now + m_settings.commandRetryDelay * (1 + std::min(worker.failedPolls, 3));
 }
 
-void Scheduler::onCpuLimitResult(const CpuLimitCommand &order, CallResult result, Instant)
+void Scheduler::onCpuLimitResult(const CpuLimitCommand &command, CallResult result, Instant)
 {
-    const auto found = m_workers.find(order.worker);
+    const auto found = m_workers.find(command.worker);
     if (found == m_workers.end())
         return;
-    if (WorkerRun *run = findRun(found->second, order.task, order.run)) {
+    if (WorkerRun *run = findRun(found->second, command.task, command.run)) {
         run->isCpuLimitInFlight = false;
         if (result == CallResult::Ok)
-            run->cpuLimitPercent = order.percent;
+            run->cpuLimitPercent = command.percent;
     }
 }
 
-void Scheduler::onPollResult(const PollRequest &order, CallResult result, const WorkerStatus &look,
-                             Instant sent, Instant now)
+void Scheduler::onPollResult(const PollRequest &request, CallResult result,
+                             const WorkerStatus &status, Instant sent, Instant now)
 {
-    WorkerState *answering = answeringWorker(order.worker, result, now);
+    WorkerState *answering = answeringWorker(request.worker, result, now);
     if (!answering)
         return;
     WorkerState &worker = *answering;
     worker.isPollInFlight = false;
     if (result != CallResult::Ok) {
         ++worker.failedPolls;
-        constexpr int kMaxBackoff = 4;
+        constexpr int kMaxBackoffFactor = 4;
         worker.nextPoll = now
-            + m_settings.commandRetryDelay * std::min(worker.failedPolls, kMaxBackoff);
+            + m_settings.commandRetryDelay * std::min(worker.failedPolls, kMaxBackoffFactor);
         logDecision({"look_failed",
-                     {{"worker", order.worker.name()},
+                     {{"worker", request.worker.name()},
                       {"result", nameOf(result)},
                       {"failures", std::to_string(worker.failedPolls)},
                       {"runs", std::to_string(worker.runs.size())}},
@@ -225,21 +227,21 @@
     if (worker.failedPolls > 0)
         m_needsPlacement = true;
     worker.failedPolls = 0;
-    worker.lastAcknowledgedEnd = std::max(worker.lastAcknowledgedEnd, order.acknowledgedEnd);
-    worker.clock.recordConfirmed(order.leaseExpiry);
-    handleStatus(worker, look, sent, now);
+    worker.lastAcknowledgedEnd = std::max(worker.lastAcknowledgedEnd, request.acknowledgedEnd);
+    worker.clock.recordConfirmed(request.leaseExpiry);
+    handleStatus(worker, status, sent, now);
 }
 
-void Scheduler::onAdviceResult(const AdviceRequest &order, bool isAnswered,
+void Scheduler::onAdviceResult(const AdviceRequest &request, bool isAnswered,
                                const std::vector<std::pair<WorkerId, std::string>> &tickets,
                                Instant now)
 {
-    const auto job = m_jobs.find(order.job);
+    const auto job = m_jobs.find(request.job);
     Millis lifetime{0};
     if (job != m_jobs.end() && job->second.spec.queue.advice)
         lifetime = job->second.spec.queue.advice->ticketLifetime;
-    m_tickets.handleAnswer({order.job, order.occurrence, order.step}, order.workers, isAnswered,
-                           tickets, now + lifetime);
+    m_tickets.handleAnswer({request.job, request.occurrence, request.step}, request.workers,
+                           isAnswered, tickets, now + lifetime);
     m_needsPlacement = true;
 }
 
@@ -248,9 +250,9 @@
     if (m_batchInFlight != batch)
         return;
     m_batchInFlight.reset();
-    constexpr Millis kRecordRetry{100};
+    constexpr Millis kWriteRetryDelay{100};
     if (!isDurable) {
-        m_recordDue = now + kRecordRetry;
+        m_recordDue = now + kWriteRetryDelay;
         for (const JobId id : m_batchJobs) {
             if (const auto found = m_jobs.find(id); found != m_jobs.end())
                 markDirty(found->second);
@@ -264,7 +266,7 @@
         const auto found = m_jobs.find(id);
         if (found == m_jobs.end())
             continue;
-        // A release that was decided while the batch was under way is not in it.
+        // A release that was decided while the write was in flight is not part of it.
         found->second.isReleaseRecorded = found->second.isReleaseRecorded
             || found->second.isReleaseInBatch;
         if (!found->second.isDirty)
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -1,4 +1,4 @@
-// Which waiting task runs next, and on which worker.
+// Placement: which waiting task starts next, and on which worker.
 #include "oleanderhall/scheduling/scheduler.h"
 
 #include <algorithm>
@@ -9,11 +9,21 @@
 namespace {
 
 constexpr std::int64_t kRunsPerGeneration = 1000;
-constexpr std::size_t kMaxUnplacedSteps = 40; // a full pool is not searched to the end
+constexpr std::size_t kMaxUnplacedSteps = 40; // bounds the search of a full pool
 constexpr double kMilliPerUnit = 1000;
-constexpr std::size_t
-    kMaxJobsReleasedAhead = 12; // jobs of a pool; more wait longer after a take-over
-constexpr std::size_t kMaxWorkersPerAdvice = 12; // asking costs time for each worker named
+// Per pool. Released jobs must wait for earlier leases after a take-over, so more would delay more
+// jobs then.
+constexpr std::size_t kMaxJobsReleasedAhead = 12;
+constexpr std::size_t kMaxWorkersPerAdvice = 12; // each worker adds to the response time
+
+// Scores of chooseWorker(). The share of free cores is between 0 and 1.
+constexpr double kFailedHerePenalty = 1000;
+constexpr double kDataRackBonus = 100;
+constexpr double kMaintenancePenalty = 50; // for long-running tasks
+constexpr double kSameStepPenalty = 30.0; // per other task of a step with a disruption budget
+constexpr double kMixedLoadPenalty = 20.0; // per serving run next to one on idle cores, or reversed
+constexpr double kFreeShareWeight = 10.0;
+constexpr int kInUseBonus = 5;
 
 double seconds(Millis time)
 {
@@ -87,7 +97,7 @@
     Occurrence untouched;
     untouched.steps.resize(job.spec.steps.size());
     for (TrackedStep &step : untouched.steps)
-        step.tasks.resize(1); // a step that is not complete
+        step.tasks.resize(1); // one open task, so that the step is not complete
     facts.age = std::chrono::duration_cast<Millis>(now - job.accepted);
     facts.criticalPath = remainingCriticalPath(job, untouched);
     facts.criticalPathLeft = remainingCriticalPath(job, occurrence);
@@ -124,15 +134,16 @@
 
 void Scheduler::place(Instant now, std::vector<SchedulerAction> &out)
 {
-    constexpr Millis kPlaceAtLeast{100}; // times pass even when nothing else changes
-    if (!m_needsPlacement && now - m_lastPlacement < kPlaceAtLeast)
+    constexpr Millis kMaxPlacementInterval{100}; // time limits pass without any event
+    if (!m_needsPlacement && now - m_lastPlacement < kMaxPlacementInterval)
         return;
     m_needsPlacement = false;
     m_lastPlacement = now;
     std::set<ServiceId> busy;
     for (const JobId id : m_active)
         busy.insert(m_jobs.at(id).spec.queue.service);
-    // While the window is full, the pools take turns.
+    // Starts with the pool after the one where the window was full the last time, so that every
+    // pool gets its share of the start commands.
     std::vector<ServiceId> pools(busy.lower_bound(m_firstPool), busy.end());
     pools.insert(pools.end(), busy.begin(), busy.lower_bound(m_firstPool));
     for (auto pool = pools.begin(); pool != pools.end(); ++pool) {
@@ -147,12 +158,13 @@
 
 void Scheduler::placePool(ServiceId pool, Instant now, std::vector<SchedulerAction> &out)
 {
-    std::size_t refused = 0;
+    std::size_t unplaced = 0;
     std::size_t releasing = 0;
     for (const Candidate &candidate : candidates(pool, now)) {
         TrackedJob &job = *candidate.job;
         if (!job.isReleaseRecorded) {
-            // The next in order are released ahead of the room for them.
+            // Releases the next jobs before there is capacity for them, because they can't start
+            // until the release is durable.
             if (++releasing > kMaxJobsReleasedAhead)
                 break;
             if (!job.isReleased) {
@@ -165,7 +177,7 @@
             break;
         const std::size_t before = out.size();
         placeStep(candidate, now, out);
-        if (out.size() == before && ++refused >= kMaxUnplacedSteps)
+        if (out.size() == before && ++unplaced >= kMaxUnplacedSteps)
             break;
     }
 }
@@ -192,7 +204,7 @@
     }
 }
 
-/// Asks for tickets for workers with room when the step holds none that is valid.
+/// Requests tickets for workers with enough free capacity unless the step has a valid one.
 void Scheduler::requestAdvice(const Candidate &candidate, Instant now,
                               std::vector<SchedulerAction> &out)
 {
@@ -201,20 +213,20 @@
     if (m_tickets.isRequestPending(key))
         return;
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(candidate.step)];
-    AdviceRequest order{.job = key.job, .occurrence = key.occurrence, .step = key.step};
+    AdviceRequest request{.job = key.job, .occurrence = key.occurrence, .step = key.step};
     for (const auto &[id, worker] : m_workers) {
         if (worker.info.pool != job.spec.queue.service || !worker.acceptsNewTasks(now)
             || !spec.need.fitsInto(worker.freeCapacity()) || m_tickets.isDenied(key, id))
             continue;
         if (!m_tickets.find(key, id, now).empty())
-            return; // enough to go on with
-        if (order.workers.size() < kMaxWorkersPerAdvice)
-            order.workers.push_back(id);
+            return; // one valid ticket is enough to place a task
+        if (request.workers.size() < kMaxWorkersPerAdvice)
+            request.workers.push_back(id);
     }
-    if (order.workers.empty())
+    if (request.workers.empty())
         return;
     m_tickets.addPendingRequest(key);
-    out.emplace_back(std::move(order));
+    out.emplace_back(std::move(request));
 }
 
 bool Scheduler::placeTask(TrackedJob &job, Occurrence &occurrence, int step, int index, Instant now,
@@ -235,7 +247,7 @@
 {
     TrackedStep &run = occurrence.steps[static_cast<std::size_t>(step)];
     if (run.placedTasks > 0)
-        return; // the whole gang starts together, once every earlier member is gone
+        return; // all tasks of a gang start together, after every earlier run has ended
     std::int64_t next = run.lastGangRun;
     std::string checkpoint;
     for (const TrackedTask &task : run.tasks) {
@@ -245,15 +257,15 @@
         checkpoint = std::max(checkpoint, task.checkpoint);
     }
     next = nextRunNumber(next);
-    // Members are placed one by one on trial; without room for all, none is started.
-    std::vector<SchedulerAction> orders;
+    // Places the tasks one by one; if one does not fit, all placements are undone.
+    std::vector<SchedulerAction> starts;
     for (int index = 0; index < static_cast<int>(run.tasks.size()); ++index) {
         TrackedTask &task = run.tasks[static_cast<std::size_t>(index)];
         task.checkpoint = checkpoint;
         WorkerState *worker = chooseWorker(job, occurrence, step, task, now);
         if (!worker) {
-            for (const SchedulerAction &order : orders) {
-                const auto &start = std::get<StartCommand>(order);
+            for (const SchedulerAction &action : starts) {
+                const auto &start = std::get<StartCommand>(action);
                 WorkerState &holder = m_workers.at(start.worker);
                 WorkerRun *placed = findRun(holder, start.task, start.run);
                 const WorkerRun ended = *placed;
@@ -264,10 +276,10 @@
             m_needsPlacement = false;
             return;
         }
-        startRun(*worker, job, {job.spec.id, occurrence.number, step, index}, next, now, orders);
+        startRun(*worker, job, {job.spec.id, occurrence.number, step, index}, next, now, starts);
     }
     run.lastGangRun = next;
-    std::move(orders.begin(), orders.end(), std::back_inserter(out));
+    std::move(starts.begin(), starts.end(), std::back_inserter(out));
 }
 
 WorkerState *Scheduler::chooseWorker(const TrackedJob &job, const Occurrence &occurrence, int step,
@@ -287,37 +299,38 @@
         if (job.spec.queue.advice
             && m_tickets.find({job.spec.id, occurrence.number, step}, id, now).empty())
             continue;
-        int alike = 0;
+        int sameStep = 0;
         int serving = 0;
         int filling = 0;
         for (const WorkerRun &run : worker.runs) {
             if (run.task.job == job.spec.id && run.task.occurrence == occurrence.number
                 && run.task.step == step)
-                ++alike;
+                ++sameStep;
             serving += run.latencyTarget.count() > 0 ? 1 : 0;
             filling += run.usesIdleCores ? 1 : 0;
         }
-        if (spec.maxPerWorker > 0 && alike >= spec.maxPerWorker)
+        if (spec.maxPerWorker > 0 && sameStep >= spec.maxPerWorker)
             continue;
-        // Higher is better: not where it failed, near its data, then packed tightly.
+        // The highest score wins: avoids workers where the task failed, prefers the rack of its
+        // data, then fills workers that are in use.
         double score = 0;
         if (std::find(task.failedOn.begin(), task.failedOn.end(), id) != task.failedOn.end())
-            score -= 1000;
+            score -= kFailedHerePenalty;
         if (!spec.dataRack.empty() && worker.info.hasLabel(spec.dataRack))
-            score += 100;
+            score += kDataRackBonus;
         if (spec.isLongRunning && m_awaitingMaintenance.contains(id))
-            score -= 50;
+            score -= kMaintenancePenalty;
         if (spec.isLongRunning && spec.mayMiss >= 0)
-            score -= 30.0 * std::max(0, alike - 1); // a lost host should not take most of them
+            score -= kSameStepPenalty * std::max(0, sameStep - 1); // limits the loss of one host
         const auto capacity = static_cast<double>(
             std::max<std::int64_t>(worker.info.capacity.milliCores, 1));
         const double free = static_cast<double>(worker.freeCapacity().milliCores) / capacity;
         if (spec.fills)
-            score += 10.0 * free - 20.0 * serving;
+            score += kFreeShareWeight * free - kMixedLoadPenalty * serving;
         else if (spec.latencyTarget.count() > 0)
-            score += 10.0 * free - 20.0 * filling;
+            score += kFreeShareWeight * free - kMixedLoadPenalty * filling;
         else
-            score += (worker.runs.empty() ? 0 : 5) - 10.0 * free;
+            score += (worker.runs.empty() ? 0 : kInUseBonus) - kFreeShareWeight * free;
         if (!best || score > bestScore) {
             best = &worker;
             bestScore = score;
@@ -368,18 +381,18 @@
 StartCommand Scheduler::makeStartCommand(WorkerState &worker, const TrackedJob &job,
                                          const WorkerRun &run, Instant now)
 {
-    StartCommand order{.worker = worker.info.id,
-                       .task = run.task,
-                       .run = run.run,
-                       .payload = job.spec.payload,
-                       .checkpoint = findTask(run.task)->checkpoint};
+    StartCommand command{.worker = worker.info.id,
+                         .task = run.task,
+                         .run = run.run,
+                         .payload = job.spec.payload,
+                         .checkpoint = findTask(run.task)->checkpoint};
     if (job.spec.queue.advice)
-        order.ticket = m_tickets.find({run.task.job, run.task.occurrence, run.task.step},
-                                      worker.info.id, now);
-    order.leaseExpiry = worker.clock.latestTime(now) + m_settings.workerLease;
-    worker.clock.recordGranted(order.leaseExpiry);
+        command.ticket = m_tickets.find({run.task.job, run.task.occurrence, run.task.step},
+                                        worker.info.id, now);
+    command.leaseExpiry = worker.clock.latestTime(now) + m_settings.workerLease;
+    worker.clock.recordGranted(command.leaseExpiry);
     m_startWindow.onSent();
-    return order;
+    return command;
 }
 
 } // namespace oleanderhall
--- a/src/scheduling/schedulerstatus.cpp
+++ b/src/scheduling/schedulerstatus.cpp
@@ -1,4 +1,4 @@
-// What the Scheduler learns from what runs and has ended at workers.
+// Handling of worker status: active and ended runs, stalls and CPU limits.
 #include "oleanderhall/scheduling/scheduler.h"
 
 #include <algorithm>
@@ -7,37 +7,38 @@
 
 namespace {
 
-/// The most ends that a worker lists in one answer (the platform's word); more may follow.
+/// The platform's limit of ended runs in one status; if it is reached, more may follow.
 constexpr std::size_t kMaxEndsPerStatus = 500;
-constexpr int kReadyPercent = 100; // percent
-// Filling runs are slowed before the target is passed and sped up again well below it.
+constexpr int kReadyPercent = 100;
+// Runs on idle cores are slowed down before a serving run exceeds its latency target, and sped up
+// again well below it. Both limits are shares of the target.
 constexpr double kSlowDownAbove = 0.85;
 constexpr double kSpeedUpBelow = 0.6;
 constexpr int kSpeedUpStepPercent = 10;
 constexpr int kMinCpuLimitPercent = 10;
-constexpr Millis kCpuLimitInterval{500}; // the worker's figure covers the last half second
+constexpr Millis kCpuLimitInterval{500}; // a worker reports the load of the last half second
 
 } // namespace
 
-void Scheduler::handleStatus(WorkerState &worker, const WorkerStatus &look, Instant sent,
+void Scheduler::handleStatus(WorkerState &worker, const WorkerStatus &status, Instant sent,
                              Instant now)
 {
-    worker.clock.update(look.clock, now);
+    worker.clock.update(status.clock, now);
     if (!worker.isSynced) {
         worker.isSynced = true;
-        // An earlier owner's leases may run on for as long as any lease.
-        worker.clock.recordGranted(look.clock + m_settings.workerLease);
+        // An earlier owner may have extended leases until now.
+        worker.clock.recordGranted(status.clock + m_settings.workerLease);
         m_needsPlacement = true;
     }
     std::set<std::pair<TaskId, std::int64_t>> present;
-    for (const ActiveRun &row : look.running)
-        present.emplace(row.task, row.run);
-    for (const EndedRun &ended : look.ended)
+    for (const ActiveRun &reported : status.running)
+        present.emplace(reported.task, reported.run);
+    for (const EndedRun &ended : status.ended)
         handleEndedRun(worker, ended, now);
-    for (const ActiveRun &row : look.running)
-        handleActiveRun(worker, row, now);
-    const bool isWhole = look.ended.size() < kMaxEndsPerStatus;
-    for (std::size_t index = 0; isWhole && index < worker.runs.size();) {
+    for (const ActiveRun &reported : status.running)
+        handleActiveRun(worker, reported, now);
+    const bool isComplete = status.ended.size() < kMaxEndsPerStatus;
+    for (std::size_t index = 0; isComplete && index < worker.runs.size();) {
         const WorkerRun run = worker.runs[index];
         const bool isGone = !present.contains({run.task, run.run})
             && ((run.phase == WorkerRun::Phase::Running && run.runningSince < sent)
@@ -52,35 +53,35 @@
     }
     findStalls(worker, now);
     adjustCpuLimits(worker, now);
-    const bool hasNewEnds = !look.ended.empty();
+    const bool hasNewEnds = !status.ended.empty();
     worker.nextPoll = hasNewEnds ? now + m_settings.pollSpacing : now;
 }
 
-void Scheduler::handleActiveRun(WorkerState &worker, const ActiveRun &row, Instant now)
+void Scheduler::handleActiveRun(WorkerState &worker, const ActiveRun &reported, Instant now)
 {
-    if (WorkerRun *known = findRun(worker, row.task, row.run)) {
+    if (WorkerRun *known = findRun(worker, reported.task, reported.run)) {
         if (known->phase == WorkerRun::Phase::Starting) {
             known->phase = WorkerRun::Phase::Running;
             known->runningSince = now;
             known->lastProgress = now;
         }
-        if (row.progressPercent != known->progressPercent)
+        if (reported.progressPercent != known->progressPercent)
             known->lastProgress = now;
-        known->progressPercent = row.progressPercent;
-        known->checkpoint = row.checkpoint;
-        known->recentLoad = row.recentLoad;
+        known->progressPercent = reported.progressPercent;
+        known->checkpoint = reported.checkpoint;
+        known->recentLoad = reported.recentLoad;
         return;
     }
-    const StepSpec *spec = findSpec(row.task);
-    const auto job = m_jobs.find(row.task.job);
-    TrackedTask *task = findTask(row.task);
-    WorkerRun run{.task = row.task, .run = row.run};
+    const StepSpec *spec = findSpec(reported.task);
+    const auto job = m_jobs.find(reported.task.job);
+    TrackedTask *task = findTask(reported.task);
+    WorkerRun run{.task = reported.task, .run = reported.run};
     run.phase = WorkerRun::Phase::Running;
     run.runningSince = now;
     run.lastProgress = now;
-    run.progressPercent = row.progressPercent;
-    run.checkpoint = row.checkpoint;
-    run.recentLoad = row.recentLoad;
+    run.progressPercent = reported.progressPercent;
+    run.checkpoint = reported.checkpoint;
+    run.recentLoad = reported.recentLoad;
     if (spec) {
         run.reservation = spec->need;
         run.usesIdleCores = spec->fills;
@@ -90,20 +91,20 @@
             run.reservation.milliCores = 0;
     }
     const bool isWanted = task && job != m_jobs.end() && !isFinal(job->second.state)
-        && !task->isDone && !task->isPlaced && !task->hasEnded(row.run);
+        && !task->isDone && !task->isPlaced && !task->hasEnded(reported.run);
     if (isWanted) {
         task->isPlaced = true;
         task->worker = worker.info.id;
-        task->lastRun = std::max(task->lastRun, row.run);
-        TrackedStep *step = findStep(row.task);
+        task->lastRun = std::max(task->lastRun, reported.run);
+        TrackedStep *step = findStep(reported.task);
         ++step->placedTasks;
-        step->lastGangRun = std::max(step->lastGangRun, row.run);
+        step->lastGangRun = std::max(step->lastGangRun, reported.run);
         if (job->second.state == JobState::Queued)
             job->second.state = JobState::Running;
     } else {
         logDecision({"stray_run_stopped",
-                     {{"task", textOf(row.task)},
-                      {"run", std::to_string(row.run)},
+                     {{"task", textOf(reported.task)},
+                      {"run", std::to_string(reported.run)},
                       {"worker", worker.info.id.name()}},
                      true});
         requestStop(run, now);
@@ -169,7 +170,7 @@
         return;
     }
     if (spec.isLongRunning)
-        return; // started again without limit; nothing needs to last
+        return; // restarted without limit, so there is nothing to record
     markDirty(job);
     if (ended.runOutcome == RunOutcome::Failed)
         handleFailure(worker, job, *task, ended.task, now);
@@ -204,10 +205,10 @@
         const auto job = m_jobs.find(run.task.job);
         if (!spec || job == m_jobs.end() || spec->isGang)
             continue;
-        // Progress comes in whole percents: a long task may take a while for one.
-        constexpr int kPercents = 25;
+        // Progress is reported in whole percent, so a long task may take a while to advance.
+        constexpr int kExpectedTimeDivisor = 25;
         const Millis expected = m_runTimes.expected(job->second.spec.queue.name, *spec);
-        if (now - run.lastProgress < expected / kPercents + m_settings.stallTimeout)
+        if (now - run.lastProgress < expected / kExpectedTimeDivisor + m_settings.stallTimeout)
             continue;
         logDecision({"run_stalled",
                      {{"task", textOf(run.task)},
@@ -217,22 +218,22 @@
         requestStop(run, now);
         if (TrackedTask *task = findTask(run.task))
             task->failedOn.push_back(worker.info.id);
-        avoid(worker, "a run stood still", now);
+        avoid(worker, "a run made no progress", now);
     }
 }
 
 void Scheduler::adjustCpuLimits(WorkerState &worker, Instant now)
 {
-    double worst = 0; // tail latency of a serving run, as a share of its target
-    bool hasFill = false;
+    double worst = 0; // highest tail latency of a serving run, as a share of its target
+    bool hasIdleCoreRuns = false;
     for (const WorkerRun &run : worker.runs) {
-        hasFill = hasFill || run.usesIdleCores;
+        hasIdleCoreRuns = hasIdleCoreRuns || run.usesIdleCores;
         if (run.latencyTarget.count() > 0 && run.phase == WorkerRun::Phase::Running)
             worst = std::max(worst,
                              static_cast<double>(run.recentLoad)
                                  / static_cast<double>(run.latencyTarget.count()));
     }
-    if (!hasFill || now < worker.nextCpuLimitChange
+    if (!hasIdleCoreRuns || now < worker.nextCpuLimitChange
         || (worst <= kSlowDownAbove && worst >= kSpeedUpBelow))
         return;
     worker.nextCpuLimitChange = now + kCpuLimitInterval;
--- a/src/scheduling/schedulertick.cpp
+++ b/src/scheduling/schedulertick.cpp
@@ -1,4 +1,4 @@
-// What the Scheduler sends: looks, orders to workers and records of progress.
+// tick(): commands to workers, polls and writes of progress.
 #include "oleanderhall/scheduling/scheduler.h"
 
 #include <algorithm>
@@ -7,20 +7,20 @@
 
 namespace {
 
-constexpr Millis kLeaseExpirySlack{150}; // over the worker's own time to end lapsed runs
-constexpr Millis kStatusLifetimeSlack{30000}; // beyond the time for which a state stays readable
-constexpr Millis kMixedPollWait{700}; // where filling runs share a worker with serving ones
+constexpr Millis kLeaseExpirySlack{150}; // on top of the worker's stop time-out
+constexpr Millis kStatusLifetimeSlack{30000}; // on top of statusLifetime
+constexpr Millis kMixedPollWait{700}; // keeps the latency of serving runs up to date
 constexpr Millis kIdleTickInterval{250};
 constexpr Millis kBusyTickInterval{50};
 
 } // namespace
 
-std::vector<SchedulerAction> Scheduler::tick(Instant now, std::int64_t wallMs, bool mayOrder)
+std::vector<SchedulerAction> Scheduler::tick(Instant now, std::int64_t wallMs, bool maySendCommands)
 {
     std::vector<SchedulerAction> out;
     openOccurrences(wallMs);
     expireLeases(now);
-    if (mayOrder) {
+    if (maySendCommands) {
         for (auto &[id, worker] : m_workers)
             sendCommands(worker, now, out);
         place(now, out);
@@ -47,7 +47,7 @@
         if (worker.runs.empty() || worker.failedPolls == 0)
             continue;
         if (worker.clock.allLeasesExpired(now, m_settings.stopTimeout + kLeaseExpirySlack))
-            dropAllRuns(worker, "lease lapsed at a silent worker", now);
+            dropAllRuns(worker, "lease expired on an unresponsive worker", now);
     }
     std::erase_if(m_workers, [](const auto &entry) {
         return !entry.second.isListed && entry.second.runs.empty() && entry.second.hasTerminated;
@@ -91,34 +91,35 @@
     const bool hasUnacknowledged = worker.lastRecordedEnd > worker.lastAcknowledgedEnd;
     if (worker.isSynced && worker.runs.empty() && !hasUnacknowledged && worker.failedPolls == 0)
         return;
-    // An end stays listed until it is acknowledged, so a look would return at once with it.
+    // Ended runs are reported until they are acknowledged, which requires a durable record. A poll
+    // before that would return immediately with the same ends.
     const Millis left = worker.clock.isKnown()
         ? worker.clock.confirmedExpiry() - worker.clock.latestTime(now)
         : Millis(0);
     const bool isLeaseShort = left < m_settings.workerLease / 2;
     if (hasUnrecorded && !(isLeaseShort && !worker.runs.empty()))
         return;
-    PollRequest order{.worker = worker.info.id, .acknowledgedEnd = worker.lastRecordedEnd};
+    PollRequest request{.worker = worker.info.id, .acknowledgedEnd = worker.lastRecordedEnd};
     bool needsAnswerNow = !worker.isSynced || worker.failedPolls > 0 || hasUnrecorded;
-    bool mixesFill = false;
-    bool mixesServing = false;
+    bool hasIdleCoreRuns = false;
+    bool hasServingRuns = false;
     for (const WorkerRun &run : worker.runs) {
         needsAnswerNow = needsAnswerNow
             || (run.phase == WorkerRun::Phase::Stopping && run.isStopConfirmed
                 && now - run.stopConfirmedAt > m_settings.stopTimeout);
-        mixesFill = mixesFill || run.usesIdleCores;
-        mixesServing = mixesServing || run.latencyTarget.count() > 0;
+        hasIdleCoreRuns = hasIdleCoreRuns || run.usesIdleCores;
+        hasServingRuns = hasServingRuns || run.latencyTarget.count() > 0;
     }
-    // A silent worker's lease is left alone, so that it can be told when its runs have ended. One
-    // lost answer does not make it silent.
+    // Does not extend the lease of an unresponsive worker, so that it expires and the runs are
+    // known to have ended. One lost answer is tolerated.
     if (!worker.runs.empty() && worker.clock.isKnown() && worker.failedPolls <= 1) {
-        order.leaseExpiry = worker.clock.latestTime(now) + m_settings.workerLease;
-        worker.clock.recordGranted(order.leaseExpiry);
+        request.leaseExpiry = worker.clock.latestTime(now) + m_settings.workerLease;
+        worker.clock.recordGranted(request.leaseExpiry);
     }
     if (!needsAnswerNow && !worker.runs.empty())
-        order.maxWait = mixesFill && mixesServing ? kMixedPollWait : m_settings.pollWait;
+        request.maxWait = hasIdleCoreRuns && hasServingRuns ? kMixedPollWait : m_settings.pollWait;
     worker.isPollInFlight = true;
-    out.emplace_back(order);
+    out.emplace_back(request);
 }
 
 void Scheduler::writeProgress(Instant now, std::vector<SchedulerAction> &out)
@@ -138,24 +139,24 @@
            });
     if (!isUrgent)
         return;
-    ProgressWrite order{.batch = ++m_batch};
+    ProgressWrite write{.batch = ++m_batch};
     m_batchJobs.clear();
     for (const JobId id : m_dirty) {
-        if (order.updates.size() >= m_settings.maxJobsPerWrite)
+        if (write.updates.size() >= m_settings.maxJobsPerWrite)
             break;
         TrackedJob &job = m_jobs.at(id);
         job.isDirty = false;
         job.isLazilyDirty = false;
         job.isReleaseInBatch = job.isReleased;
-        order.updates.push_back(progressOf(job));
+        write.updates.push_back(progressOf(job));
         m_batchJobs.push_back(id);
     }
     for (const JobId id : m_batchJobs)
         m_dirty.erase(id);
     m_batchDropped.clear();
-    while (order.updates.size() + order.dropped.size() < m_settings.maxJobsPerWrite
+    while (write.updates.size() + write.dropped.size() < m_settings.maxJobsPerWrite
            && !m_expiredJobs.empty()) {
-        order.dropped.push_back(m_expiredJobs.back());
+        write.dropped.push_back(m_expiredJobs.back());
         m_batchDropped.push_back(m_expiredJobs.back());
         m_expiredJobs.pop_back();
     }
@@ -163,9 +164,9 @@
         for (auto &[id, worker] : m_workers)
             worker.lastEndInBatch = worker.lastHandledEnd;
     }
-    m_batchInFlight = order.batch;
+    m_batchInFlight = write.batch;
     m_recordDue = now + m_settings.recordInterval;
-    out.emplace_back(std::move(order));
+    out.emplace_back(std::move(write));
 }
 
 void Scheduler::expireOldJobs(Instant now)
--- a/src/scheduling/ticketcache.cpp
+++ b/src/scheduling/ticketcache.cpp
@@ -15,7 +15,7 @@
     return m_denied.contains({step, worker});
 }
 
-void TicketCache::handleAnswer(const StepKey &step, const std::vector<WorkerId> &asked,
+void TicketCache::handleAnswer(const StepKey &step, const std::vector<WorkerId> &requested,
                                bool isAnswered,
                                const std::vector<std::pair<WorkerId, std::string>> &tickets,
                                Instant validUntil)
@@ -23,7 +23,7 @@
     m_pendingRequests.erase(step);
     if (!isAnswered)
         return;
-    for (const WorkerId worker : asked)
+    for (const WorkerId worker : requested)
         m_denied.insert({step, worker});
     for (const auto &[worker, text] : tickets) {
         m_denied.erase({step, worker});
