--- a/include/oleanderhall/scheduling/jobrank.h
+++ b/include/oleanderhall/scheduling/jobrank.h
@@ -33,7 +33,7 @@
     enum class Timeliness {
         InTime, ///< Can still meet its objective.
         Late,
-        Expired, ///< So late that its result is of no use to the caller.
+        Expired ///< So late that its result is of no use to the caller.
     };
 
     int priority = 0;
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -65,10 +65,10 @@
                         const std::vector<std::pair<WorkerId, std::string>> &tickets, Instant now);
     void onProgressWritten(std::uint64_t batch, bool isDurable, Instant now);
 
-    /// Returns the actions that are due at `now`; `wallMs` is the wall clock in milliseconds since
-    /// 1970. While ownership is in doubt, `maySendCommands` is false: then it only polls workers,
-    /// which also extends leases.
-    std::vector<SchedulerAction> tick(Instant now, std::int64_t wallMs,
+    /// Returns the actions that are due at `now`; `wallClockMs` is the wall clock in milliseconds
+    /// since 1970. While ownership is in doubt, `maySendCommands` is false: then it only polls
+    /// workers, which also extends leases.
+    std::vector<SchedulerAction> tick(Instant now, std::int64_t wallClockMs,
                                       bool maySendCommands = true);
     /// Returns when to call tick() next if no event arrives before.
     Instant nextTick(Instant now) const;
@@ -120,7 +120,7 @@
                                                            std::int64_t number, CallResult result,
                                                            Instant now);
     void handleStatus(WorkerState &worker, const WorkerStatus &status, Instant sent, Instant now);
-    void handleActiveRun(WorkerState &worker, const ActiveRun &row, Instant now);
+    void handleActiveRun(WorkerState &worker, const ActiveRun &reported, Instant now);
     void handleEndedRun(WorkerState &worker, const EndedRun &ended, Instant now);
     void handleFailure(WorkerState &worker, TrackedJob &job, TrackedTask &task, const TaskId &id,
                        Instant now);
@@ -140,7 +140,7 @@
     void logDecision(Decision decision);
 
     // Steps of tick().
-    void openOccurrences(std::int64_t wallMs);
+    void openOccurrences(std::int64_t wallClockMs);
     void openOccurrence(TrackedJob &job, int number);
     void finishIfComplete(TrackedJob &job, Instant now);
     void expireLeases(Instant now);
@@ -168,7 +168,7 @@
     StartCommand makeStartCommand(WorkerState &worker, const TrackedJob &job, const WorkerRun &run,
                                   Instant now);
     StepPresence presenceOf(const TaskId &id, WorkerId here) const;
-    bool isReady(const TrackedJob &job, const Occurrence &occurrence, int step) const;
+    bool areDependenciesDone(const TrackedJob &job, const Occurrence &occurrence, int step) const;
     bool mayStart(const TrackedJob &job, const TrackedTask &task, Instant now) const;
     JobRankInputs rankInputsOf(const TrackedJob &job, const Occurrence &occurrence,
                                Instant now) const;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -138,13 +138,13 @@
     job.occurrences.push_back(std::move(occurrence));
 }
 
-void Scheduler::openOccurrences(std::int64_t wallMs)
+void Scheduler::openOccurrences(std::int64_t wallClockMs)
 {
     for (const JobId id : m_active) {
         TrackedJob &job = m_jobs.at(id);
         while (static_cast<int>(job.occurrences.size()) < job.spec.occurrences) {
             const auto next = static_cast<int>(job.occurrences.size());
-            if (wallMs < job.spec.firstDueMs + next * job.spec.intervalMs)
+            if (wallClockMs < job.spec.firstDueMs + next * job.spec.intervalMs)
                 break;
             openOccurrence(job, next);
             m_needsPlacement = true;
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -42,7 +42,8 @@
     return std::max(last + 1, m_generation * kRunsPerGeneration + 1);
 }
 
-bool Scheduler::isReady(const TrackedJob &job, const Occurrence &occurrence, int step) const
+bool Scheduler::areDependenciesDone(const TrackedJob &job, const Occurrence &occurrence,
+                                    int step) const
 {
     const auto &after = job.spec.steps[static_cast<std::size_t>(step)].after;
     return std::all_of(after.begin(), after.end(), [&](int earlier) {
@@ -118,7 +119,7 @@
             for (int step = 0; step < static_cast<int>(occurrence.steps.size()); ++step) {
                 const TrackedStep &run = occurrence.steps[static_cast<std::size_t>(step)];
                 if (run.doneTasks + run.placedTasks >= static_cast<int>(run.tasks.size())
-                    || !isReady(job, occurrence, step))
+                    || !areDependenciesDone(job, occurrence, step))
                     continue;
                 result.push_back({.job = &job,
                                   .occurrence = &occurrence,
--- a/src/scheduling/schedulertick.cpp
+++ b/src/scheduling/schedulertick.cpp
@@ -15,10 +15,11 @@
 
 } // namespace
 
-std::vector<SchedulerAction> Scheduler::tick(Instant now, std::int64_t wallMs, bool maySendCommands)
+std::vector<SchedulerAction> Scheduler::tick(Instant now, std::int64_t wallClockMs,
+                                             bool maySendCommands)
 {
     std::vector<SchedulerAction> out;
-    openOccurrences(wallMs);
+    openOccurrences(wallClockMs);
     expireLeases(now);
     if (maySendCommands) {
         for (auto &[id, worker] : m_workers)
--- a/tests/scheduling/congestionwindow_test.cpp
+++ b/tests/scheduling/congestionwindow_test.cpp
@@ -1,5 +1,5 @@
-// Pattern: an owner whose link is too small for its fleet has far more tasks to start than the link
-// carries within the time of an order, as after a loss of power.
+// Simulates an owner whose network link is too small for its fleet: it has far more tasks to start
+// than the link carries within the time-out of a command, as after a power failure.
 #include "oleanderhall/scheduling/congestionwindow.h"
 
 #include <catch2/catch.hpp>
@@ -12,39 +12,40 @@
 namespace {
 
 constexpr int kTasks = 20000;
-constexpr int kLinkMs = 3; // for one order: 3.75 KB at 10 Mbit/s
-constexpr int kOrderTimeMs = 350;
-constexpr int kLengthMs = 6000;
-constexpr int kBound = kLengthMs / kLinkMs; // orders that the link carries at all
+constexpr int kTransferTimeMs = 3; // of one command: 3.75 KB at 10 Mbit/s
+constexpr int kTimeoutMs = 350;
+constexpr int kDurationMs = 6000;
+// The number of commands that the link can carry in total.
+constexpr int kMaxTransfers = kDurationMs / kTransferTimeMs;
 
-/// A window that never changes.
+/// A window of constant size.
 struct FixedWindow
 {
     int size = std::numeric_limits<int>::max();
-    int open = 0;
+    int inFlight = 0;
 
-    bool isOpen() const { return open < size; }
-    void onSent() { ++open; }
-    void onCompleted(bool) { --open; }
+    bool isOpen() const { return inFlight < size; }
+    void onSent() { ++inFlight; }
+    void onCompleted(bool) { --inFlight; }
 };
 
-/// Returns how many orders were answered within their time.
+/// Returns how many start commands were answered before their time-out.
 template <typename Window>
-int startOver(Window window)
+int startAllTasks(Window window)
 {
-    std::deque<int> link; // when each order was sent
+    std::deque<int> link; // when each command in transfer was sent
     int answered = 0;
-    int left = kTasks;
-    for (int now = 0; now < kLengthMs; ++now) {
-        while (left > 0 && window.isOpen()) {
+    int waiting = kTasks;
+    for (int now = 0; now < kDurationMs; ++now) {
+        while (waiting > 0 && window.isOpen()) {
             link.push_back(now);
             window.onSent();
-            --left;
+            --waiting;
         }
-        if (now % kLinkMs != 0 || link.empty())
+        if (now % kTransferTimeMs != 0 || link.empty())
             continue;
-        // An order that is late takes its time on the link all the same.
-        const bool isInTime = now - link.front() <= kOrderTimeMs;
+        // A command that has timed out still occupies the link.
+        const bool isInTime = now - link.front() <= kTimeoutMs;
         link.pop_front();
         answered += isInTime ? 1 : 0;
         window.onCompleted(isInTime);
@@ -54,24 +55,24 @@
 
 } // namespace
 
-TEST_CASE("OrderWindow_smallLinkAndManyTasks_mostOrdersAreAnsweredInTime", "[scheduler]")
+TEST_CASE("CongestionWindow_smallLinkAndManyTasks_mostCommandsAreAnsweredInTime", "[scheduler]")
 {
-    const int ours = startOver(CongestionWindow());
-    const int allAtOnce = startOver(FixedWindow{});
-    const int large = startOver(FixedWindow{1024});
-    INFO("ours " << ours << ", all at once " << allAtOnce << ", 1,024 at a time " << large
-                 << ", bound " << kBound);
-    CHECK(ours > allAtOnce);
-    CHECK(ours > large);
-    // At most a fifth is lost to finding the size.
-    CHECK(ours > kBound * 8 / 10);
+    const int adaptive = startAllTasks(CongestionWindow());
+    const int allAtOnce = startAllTasks(FixedWindow{});
+    const int large = startAllTasks(FixedWindow{1024});
+    INFO("adaptive " << adaptive << ", all at once " << allAtOnce << ", 1,024 at a time " << large
+                     << ", bound " << kMaxTransfers);
+    CHECK(adaptive > allAtOnce);
+    CHECK(adaptive > large);
+    // Finding the right size costs at most a fifth of the link's capacity.
+    CHECK(adaptive > kMaxTransfers * 8 / 10);
 }
 
-TEST_CASE("OrderWindow_everyOrderAnswered_grows", "[scheduler]")
+TEST_CASE("CongestionWindow_everyCommandAnswered_grows", "[scheduler]")
 {
     CongestionWindow window;
     const std::size_t first = window.size();
-    for (int order = 0; order < 5000; ++order) {
+    for (int command = 0; command < 5000; ++command) {
         window.onSent();
         window.onCompleted(true);
     }
@@ -79,21 +80,21 @@
     CHECK(window.inFlight() == 0);
 }
 
-TEST_CASE("OrderWindow_oneSilentWorkerOfMany_keepsItsSize", "[scheduler]")
+TEST_CASE("CongestionWindow_oneSilentWorkerOfMany_keepsItsSize", "[scheduler]")
 {
     CongestionWindow window;
     const std::size_t first = window.size();
-    for (int order = 0; order < 1000; ++order) {
+    for (int command = 0; command < 1000; ++command) {
         window.onSent();
-        window.onCompleted(order % 10 != 0);
+        window.onCompleted(command % 10 != 0);
     }
     CHECK(window.size() >= first);
 }
 
-TEST_CASE("OrderWindow_nothingAnswered_staysOpenForSome", "[scheduler]")
+TEST_CASE("CongestionWindow_nothingAnswered_staysOpenForSome", "[scheduler]")
 {
     CongestionWindow window;
-    for (int order = 0; order < 5000; ++order) {
+    for (int command = 0; command < 5000; ++command) {
         window.onSent();
         window.onCompleted(false);
     }
--- a/tests/scheduling/jobrank_test.cpp
+++ b/tests/scheduling/jobrank_test.cpp
@@ -1,5 +1,5 @@
-// Pattern: a queue in its turn asks five times its mean, more than its pool holds, then a
-// twentieth.
+// Simulates a pool under bursts: the load of a queue alternates between four times its mean, more
+// than its pool can process, and a twentieth of its mean.
 #include "oleanderhall/scheduling/jobrank.h"
 
 #include <catch2/catch.hpp>
@@ -13,9 +13,10 @@
 
 namespace {
 
+/// A simulated job, whose steps run one after another.
 struct LoadJob
 {
-    double arrives = 0; // s
+    double arrival = 0; // s
     int tasks = 1;
     double length = 1; // s of each task
     double cores = 1;
@@ -29,22 +30,25 @@
     double objective() const { return 1.6 * steps * length + 0.6; }
 };
 
+/// The result of a simulation, as shares between 0 and 1.
 struct Served
 {
-    double worth = 0; ///< Of all that was asked, between 0 and 1.
-    double inTime = 0;
-    double largestInTime = 0; ///< Among the largest tenth.
-    double served = 0; ///< Before three times the objective.
+    double value = 0; ///< Of the value of all jobs.
+    double inTime = 0; ///< Finished within the objective.
+    double largestInTime = 0; ///< Of the largest tenth of the jobs.
+    double useful = 0; ///< Finished within three times the objective.
 };
 
-using Order = std::function<JobRank(const LoadJob &, double now, double meanWork)>;
+using RankFunction = std::function<JobRank(const LoadJob &, double now, double meanWork)>;
 
 JobRankInputs factsOf(const LoadJob &job, double now, double meanWork)
 {
-    const auto millis = [](double value) { return Millis(static_cast<Millis::rep>(value * 1000)); };
+    const auto millis = [](double seconds) {
+        return Millis(static_cast<Millis::rep>(seconds * 1000));
+    };
     return {.stretch = 1.6,
             .allowance = Millis(600),
-            .age = millis(now - job.arrives),
+            .age = millis(now - job.arrival),
             .criticalPath = millis(job.steps * job.length),
             .criticalPathLeft = millis((job.steps - job.stepsDone) * job.length),
             .totalWork = job.work(),
@@ -54,19 +58,19 @@
 
 JobRank firstCome(const LoadJob &job, double, double)
 {
-    return {.negatedValueDensity = job.arrives};
+    return {.negatedValueDensity = job.arrival};
 }
 JobRank shortestFirst(const LoadJob &job, double, double)
 {
     return {.negatedValueDensity = job.work()};
 }
-JobRank ours(const LoadJob &job, double now, double meanWork)
+JobRank jobRank(const LoadJob &job, double now, double meanWork)
 {
     return rankOf(factsOf(job, now, meanWork));
 }
 
-/// Jobs of 40 s with turns of 4.5 s in 18 s, as the users' queues have them.
-std::vector<LoadJob> turns(unsigned seed, double perSecond)
+/// Returns the jobs of 40 s with bursts of 4.5 s every 18 s, like those of the users' queues.
+std::vector<LoadJob> bursts(unsigned seed, double perSecond)
 {
     std::mt19937 random(seed);
     std::lognormal_distribution<double> width(std::log(6.0), 0.6);
@@ -74,9 +78,9 @@
     std::vector<LoadJob> jobs;
     double now = 0;
     while (now < 40) {
-        const bool isTurn = std::fmod(now, 18) < 4.5;
-        now += std::exponential_distribution<double>(perSecond * (isTurn ? 4.0 : 0.05))(random);
-        LoadJob job{.arrives = now, .length = 0.8 * uneven(random), .cores = 3.5 * uneven(random)};
+        const bool isBurst = std::fmod(now, 18) < 4.5;
+        now += std::exponential_distribution<double>(perSecond * (isBurst ? 4.0 : 0.05))(random);
+        LoadJob job{.arrival = now, .length = 0.8 * uneven(random), .cores = 3.5 * uneven(random)};
         job.tasks = std::clamp(static_cast<int>(width(random)), 1, 24);
         job.steps = random() % 5 < 3 ? 2 : 1;
         jobs.push_back(job);
@@ -84,8 +88,8 @@
     return jobs;
 }
 
-/// Plays the jobs in one pool of `cores`, tasks running to their end.
-Served play(std::vector<LoadJob> jobs, double cores, const Order &order)
+/// Simulates the jobs in one pool of `cores` without preemption of tasks.
+Served simulate(std::vector<LoadJob> jobs, double cores, const RankFunction &rank)
 {
     constexpr double kStep = 0.02;
     constexpr double kEnd = 60;
@@ -108,12 +112,12 @@
             return true;
         });
         std::vector<std::pair<JobRank, std::size_t>> waiting;
-        for (std::size_t index = 0; index < jobs.size() && jobs[index].arrives <= now; ++index) {
+        for (std::size_t index = 0; index < jobs.size() && jobs[index].arrival <= now; ++index) {
             if (jobs[index].finished < 0 && jobs[index].startedInStep < jobs[index].tasks)
-                waiting.emplace_back(order(jobs[index], now, meanWork), index);
+                waiting.emplace_back(rank(jobs[index], now, meanWork), index);
         }
         std::sort(waiting.begin(), waiting.end());
-        for (const auto &[rank, index] : waiting) {
+        for (const auto &[jobsRank, index] : waiting) {
             LoadJob &job = jobs[index];
             while (job.startedInStep < job.tasks && free >= job.cores) {
                 free -= job.cores;
@@ -127,46 +131,46 @@
     for (const LoadJob &job : jobs)
         sizes.push_back(job.work());
     std::sort(sizes.begin(), sizes.end());
-    const double large = sizes[sizes.size() * 9 / 10];
+    const double largeSize = sizes[sizes.size() * 9 / 10];
     Served served;
-    double owed = 0;
-    double largest = 0;
+    double totalValue = 0;
+    double largeJobs = 0;
     for (const LoadJob &job : jobs) {
-        const double worth = std::min(4.0, 0.3 + 0.7 * job.work() / meanWork);
-        const double took = job.finished < 0 ? 1e9 : job.finished - job.arrives;
+        const double value = std::min(4.0, 0.3 + 0.7 * job.work() / meanWork);
+        const double took = job.finished < 0 ? 1e9 : job.finished - job.arrival;
         const bool isInTime = took <= job.objective();
         const bool isUseful = took <= 3 * job.objective();
-        owed += worth;
-        served.worth += worth * (isInTime ? 1 : isUseful ? 0.07 : 0);
+        totalValue += value;
+        served.value += value * (isInTime ? 1 : isUseful ? 0.07 : 0);
         served.inTime += isInTime ? 1 : 0;
-        served.served += isUseful ? 1 : 0;
-        if (job.work() >= large) {
-            largest += 1;
+        served.useful += isUseful ? 1 : 0;
+        if (job.work() >= largeSize) {
+            largeJobs += 1;
             served.largestInTime += isInTime ? 1 : 0;
         }
     }
-    served.worth /= owed;
+    served.value /= totalValue;
     served.inTime /= static_cast<double>(jobs.size());
-    served.served /= static_cast<double>(jobs.size());
-    served.largestInTime /= largest;
+    served.useful /= static_cast<double>(jobs.size());
+    served.largestInTime /= largeJobs;
     return served;
 }
 
-class JobOrderTest
+class JobRankTest
 {
 protected:
     static constexpr double kCores = 512;
-    static constexpr double kPerSecond = 9;
+    static constexpr double kJobsPerSecond = 9;
 
-    Served mean(const Order &order) const
+    Served mean(const RankFunction &rank) const
     {
         constexpr int kSeeds = 5;
         Served sum;
         for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-            const Served one = play(turns(seed, kPerSecond), kCores, order);
-            sum.worth += one.worth / kSeeds;
+            const Served one = simulate(bursts(seed, kJobsPerSecond), kCores, rank);
+            sum.value += one.value / kSeeds;
             sum.inTime += one.inTime / kSeeds;
-            sum.served += one.served / kSeeds;
+            sum.useful += one.useful / kSeeds;
             sum.largestInTime += one.largestInTime / kSeeds;
         }
         return sum;
@@ -175,45 +179,45 @@
 
 } // namespace
 
-TEST_CASE_METHOD(JobOrderTest, "JobOrder_turnsOverloadThePool_earnsMoreThanFirstComeFirstServed",
+TEST_CASE_METHOD(JobRankTest, "JobRank_burstsOverloadThePool_earnsMoreThanFirstComeFirstServed",
                  "[load]")
 {
-    const Served policy = mean(ours);
+    const Served policy = mean(jobRank);
     const Served baseline = mean(firstCome);
-    INFO("ours " << policy.worth << " of the worth, in time " << policy.inTime
-                 << "; first come first served " << baseline.worth << ", " << baseline.inTime);
-    CHECK(policy.worth > baseline.worth);
+    INFO("JobRank " << policy.value << " of the value, in time " << policy.inTime
+                    << "; first come first served " << baseline.value << ", " << baseline.inTime);
+    CHECK(policy.value > baseline.value);
     CHECK(policy.inTime > baseline.inTime);
 }
 
-TEST_CASE_METHOD(JobOrderTest,
-                 "JobOrder_turnsOverloadThePool_servesLargeJobsBetterThanShortestFirst", "[load]")
+TEST_CASE_METHOD(JobRankTest,
+                 "JobRank_burstsOverloadThePool_servesLargeJobsBetterThanShortestFirst", "[load]")
 {
-    const Served policy = mean(ours);
+    const Served policy = mean(jobRank);
     const Served baseline = mean(shortestFirst);
-    INFO("ours " << policy.worth << ", largest in time " << policy.largestInTime << ", served "
-                 << policy.served << "; shortest first " << baseline.worth << ", "
-                 << baseline.largestInTime << ", " << baseline.served);
+    INFO("JobRank " << policy.value << ", largest in time " << policy.largestInTime << ", served "
+                    << policy.useful << "; shortest first " << baseline.value << ", "
+                    << baseline.largestInTime << ", " << baseline.useful);
     CHECK(policy.largestInTime >= baseline.largestInTime);
 }
 
-TEST_CASE_METHOD(JobOrderTest, "JobOrder_roomForAll_makesNoDifference", "[load]")
+TEST_CASE_METHOD(JobRankTest, "JobRank_capacityForAllJobs_allAreInTime", "[load]")
 {
-    CHECK(play(turns(1, kPerSecond), 8 * kCores, ours).inTime == 1);
+    CHECK(simulate(bursts(1, kJobsPerSecond), 8 * kCores, jobRank).inTime == 1);
 }
 
-TEST_CASE("JobOrder_longRunning_comesBeforeAll", "[load]")
+TEST_CASE("JobRank_longRunning_comesBeforeAll", "[load]")
 {
     CHECK(rankOf({.isLongRunning = true, .priority = 9}) < rankOf({.priority = 0, .workLeft = 1}));
 }
 
-TEST_CASE("JobOrder_priorities_comeBeforeWorth", "[load]")
+TEST_CASE("JobRank_priorities_comeBeforeValue", "[load]")
 {
     CHECK(rankOf({.priority = 0, .totalWork = 100, .workLeft = 100, .meanWork = 1})
           < rankOf({.priority = 1, .totalWork = 1, .workLeft = 1, .meanWork = 1}));
 }
 
-TEST_CASE("JobOrder_lateJob_comesAfterOneInTime", "[load]")
+TEST_CASE("JobRank_lateJob_comesAfterOneInTime", "[load]")
 {
     const JobRankInputs inTime{
         .allowance = Millis(600), .totalWork = 9, .workLeft = 9, .meanWork = 1};
@@ -226,11 +230,11 @@
     CHECK(rankOf(late) < rankOf(useless));
 }
 
-TEST_CASE("JobOrder_begunJob_comesBeforeOneLikeItThatIsNot", "[load]")
+TEST_CASE("JobRank_startedJob_comesBeforeOneLikeItThatIsNot", "[load]")
 {
     const JobRankInputs fresh{
         .allowance = Millis(9000), .totalWork = 9, .workLeft = 9, .meanWork = 1};
-    JobRankInputs begun = fresh;
-    begun.workLeft = 4;
-    CHECK(rankOf(begun) < rankOf(fresh));
+    JobRankInputs started = fresh;
+    started.workLeft = 4;
+    CHECK(rankOf(started) < rankOf(fresh));
 }
--- a/tests/scheduling/scheduler_property_test.cpp
+++ b/tests/scheduling/scheduler_property_test.cpp
@@ -1,5 +1,5 @@
-// Plays the Scheduler against workers that lose, delay and repeat orders, under owners that are
-// replaced or doubled, and checks what must hold at every start.
+// Simulates the Scheduler with lost and delayed commands and with owners that are replaced, or
+// overlap for a while. Checks at every start of a run that it was allowed.
 #include "../support/fakefleet.h"
 
 #include <catch2/catch.hpp>
@@ -13,21 +13,22 @@
 namespace {
 
 constexpr Millis kStep{10};
-constexpr Millis kTravel{2};
+constexpr Millis kResponseTime{2};
 constexpr int kSteps = 2500; // 25 s
 constexpr int kWorkers = 5;
 const char *const kPool = "pool";
 const char *const kOtherPool = "other";
 
-/// One term of ownership as its process sees it.
+/// One term of ownership, from the point of view of its process.
 struct Owner
 {
     std::unique_ptr<Scheduler> scheduler;
     std::int64_t token = 0;
     bool isCurrent = true;
-    Instant deposed{};
+    Instant supersededAt{};
 };
 
+/// A job in the store.
 struct Stored
 {
     JobSpec spec;
@@ -35,10 +36,10 @@
     bool isCancelled = false;
 };
 
-class World
+class Simulation
 {
 public:
-    explicit World(unsigned seed)
+    explicit Simulation(unsigned seed)
         : m_random(seed)
     {
         for (int index = 0; index < kWorkers; ++index) {
@@ -48,22 +49,22 @@
         }
     }
 
-    void play()
+    void simulate()
     {
         takeOver();
         for (int step = 0; step < kSteps; ++step) {
             m_now += kStep;
-            changeWorld(step);
+            injectEvents(step);
             for (auto &[id, worker] : m_workers) {
                 worker.step(m_now);
                 for (const EndedRun &entry : worker.ended) {
                     if (entry.runOutcome == RunOutcome::Done)
-                        m_everDone.insert(entry.task);
+                        m_completedTasks.insert(entry.task);
                 }
             }
-            runDue();
+            runScheduledCalls();
             for (auto &owner : m_owners)
-                drive(*owner);
+                tickOwner(*owner);
         }
     }
 
@@ -77,7 +78,7 @@
     }
     int pick(int low, int high) { return std::uniform_int_distribution<int>(low, high)(m_random); }
 
-    void changeWorld(int step)
+    void injectEvents(int step)
     {
         if (step < kSteps / 2 && chance(0.02))
             submit();
@@ -120,12 +121,13 @@
         }
     }
 
-    /// The new owner starts from the store. The old one runs on unaware for a while.
+    /// Replaces the owner by one that starts from the store. The old owner continues for a while,
+    /// unaware of that.
     void takeOver()
     {
         for (auto &owner : m_owners) {
             if (owner->isCurrent)
-                owner->deposed = m_now;
+                owner->supersededAt = m_now;
             owner->isCurrent = false;
         }
         if (m_owners.size() > 2)
@@ -147,38 +149,40 @@
             if (stored.isCancelled)
                 owner->scheduler->cancel(id, m_now);
         }
-        m_takenOver = m_now;
+        m_lastTakeOver = m_now;
         m_owners.push_back(std::move(owner));
     }
 
-    void drive(Owner &owner)
+    void tickOwner(Owner &owner)
     {
-        // A deposed owner stops to order within its own lease, and a bit later everything.
-        constexpr Millis kOrders{1500};
-        constexpr Millis kLooks{3000};
-        if (!owner.isCurrent && m_now > owner.deposed + kLooks)
+        // A superseded owner stops sending commands within its own lease, and stops polling a
+        // little later.
+        constexpr Millis kCommandLease{1500};
+        constexpr Millis kPollLease{3000};
+        if (!owner.isCurrent && m_now > owner.supersededAt + kPollLease)
             return;
-        const bool mayOrder = owner.isCurrent || m_now < owner.deposed + kOrders;
-        for (SchedulerAction &action : owner.scheduler->tick(m_now, 0, mayOrder))
-            std::visit([&](auto &order) { send(owner, order); }, action);
+        const bool maySendCommands = owner.isCurrent || m_now < owner.supersededAt + kCommandLease;
+        for (SchedulerAction &action : owner.scheduler->tick(m_now, 0, maySendCommands))
+            std::visit([&](auto &concrete) { send(owner, concrete); }, action);
         owner.scheduler->takeDecisions();
     }
 
-    /// Calls `later` after a while, if its owner still exists then.
+    /// Schedules a call of `later` if its owner still exists at `when`.
     void at(Instant when, Owner &owner, std::function<void(Scheduler &)> later)
     {
-        m_due.emplace(when, std::pair(owner.token, std::move(later)));
+        m_scheduledCalls.emplace(when, std::pair(owner.token, std::move(later)));
     }
     void at(Instant when, std::function<void()> later)
     {
-        m_due.emplace(when, std::pair(std::int64_t(0), [later](Scheduler &) { later(); }));
+        m_scheduledCalls.emplace(when,
+                                 std::pair(std::int64_t(0), [later](Scheduler &) { later(); }));
     }
 
-    void runDue()
+    void runScheduledCalls()
     {
-        while (!m_due.empty() && m_due.begin()->first <= m_now) {
-            const auto [token, later] = m_due.begin()->second;
-            m_due.erase(m_due.begin());
+        while (!m_scheduledCalls.empty() && m_scheduledCalls.begin()->first <= m_now) {
+            const auto [token, later] = m_scheduledCalls.begin()->second;
+            m_scheduledCalls.erase(m_scheduledCalls.begin());
             if (token == 0) {
                 Scheduler unused(SchedulerSettings{}, 0, m_now);
                 later(unused);
@@ -191,146 +195,151 @@
         }
     }
 
-    enum class Fate { Answered, RequestLost, AnswerLost, Late };
-    Fate fate(const FakeWorker &worker)
+    enum class Delivery { Answered, RequestLost, AnswerLost, Late };
+    Delivery chooseDelivery(const FakeWorker &worker)
     {
         if (!worker.isReachable)
-            return Fate::RequestLost;
+            return Delivery::RequestLost;
         if (chance(0.94))
-            return Fate::Answered;
+            return Delivery::Answered;
         const int kind = pick(0, 2);
-        return kind == 0 ? Fate::RequestLost : kind == 1 ? Fate::AnswerLost : Fate::Late;
+        return kind == 0 ? Delivery::RequestLost
+            : kind == 1  ? Delivery::AnswerLost
+                         : Delivery::Late;
     }
 
-    template <typename Order, typename Carry, typename Answer>
-    void deliver(Owner &owner, const Order &order, Carry carry, Answer answer)
+    template <typename Command, typename Execute, typename Answer>
+    void deliver(Owner &owner, const Command &command, Execute execute, Answer answer)
     {
-        FakeWorker &worker = m_workers.at(order.worker);
+        FakeWorker &worker = m_workers.at(command.worker);
         constexpr Millis kTimeout{300};
-        switch (fate(worker)) {
-        case Fate::Answered: {
-            const CallResult result = carry(worker);
-            at(m_now + kTravel, owner,
+        switch (chooseDelivery(worker)) {
+        case Delivery::Answered: {
+            const CallResult result = execute(worker);
+            at(m_now + kResponseTime, owner,
                [answer, result](Scheduler &scheduler) { answer(scheduler, result); });
             return;
         }
-        case Fate::AnswerLost:
-            carry(worker);
+        case Delivery::AnswerLost:
+            execute(worker);
             break;
-        case Fate::Late:
-            at(m_now + Millis(pick(500, 6000)), [this, &worker, carry] {
-                m_isCarriedOutLate = true;
-                carry(worker);
-                m_isCarriedOutLate = false;
+        case Delivery::Late:
+            at(m_now + Millis(pick(500, 6000)), [this, &worker, execute] {
+                m_isExecutedLate = true;
+                execute(worker);
+                m_isExecutedLate = false;
             });
             break;
-        case Fate::RequestLost:
+        case Delivery::RequestLost:
             break;
         }
         at(m_now + kTimeout, owner,
            [answer](Scheduler &scheduler) { answer(scheduler, CallResult::Unknown); });
     }
 
-    void send(Owner &owner, const StartCommand &order)
+    void send(Owner &owner, const StartCommand &command)
     {
         const std::int64_t token = owner.token;
         deliver(
-            owner, order,
-            [this, order, token](FakeWorker &worker) { return start(worker, order, token); },
-            [this, order](Scheduler &scheduler, CallResult result) {
-                scheduler.onStartResult(order, result, m_now);
+            owner, command,
+            [this, command, token](FakeWorker &worker) { return start(worker, command, token); },
+            [this, command](Scheduler &scheduler, CallResult result) {
+                scheduler.onStartResult(command, result, m_now);
             });
     }
-    void send(Owner &owner, const StopCommand &order)
+    void send(Owner &owner, const StopCommand &command)
     {
         const std::int64_t token = owner.token;
         deliver(
-            owner, order,
-            [this, order, token](FakeWorker &worker) { return worker.stop(order, token, m_now); },
-            [this, order](Scheduler &scheduler, CallResult result) {
-                scheduler.onStopResult(order, result, m_now);
+            owner, command,
+            [this, command, token](FakeWorker &worker) {
+                return worker.stop(command, token, m_now);
+            },
+            [this, command](Scheduler &scheduler, CallResult result) {
+                scheduler.onStopResult(command, result, m_now);
             });
     }
-    void send(Owner &owner, const PollRequest &order)
+    void send(Owner &owner, const PollRequest &request)
     {
         const std::int64_t token = owner.token;
-        auto look = std::make_shared<WorkerStatus>();
+        auto status = std::make_shared<WorkerStatus>();
         const Instant sent = m_now;
         deliver(
-            owner, order,
-            [this, order, token, look](FakeWorker &worker) {
-                return worker.poll(order, token, m_now, *look);
+            owner, request,
+            [this, request, token, status](FakeWorker &worker) {
+                return worker.poll(request, token, m_now, *status);
             },
-            [this, order, look, sent](Scheduler &scheduler, CallResult result) {
-                scheduler.onPollResult(order, result, *look, sent, m_now);
+            [this, request, status, sent](Scheduler &scheduler, CallResult result) {
+                scheduler.onPollResult(request, result, *status, sent, m_now);
             });
     }
     void send(Owner &, const CpuLimitCommand &) {}
     void send(Owner &, const AdviceRequest &) {}
-    void send(Owner &owner, const ProgressWrite &order)
+    void send(Owner &owner, const ProgressWrite &write)
     {
         const bool isDone = owner.isCurrent && chance(0.95);
         if (isDone) {
-            for (const JobProgress &update : order.updates) {
+            for (const JobProgress &update : write.updates) {
                 m_store.at(update.id).progress = update;
                 for (const TaskProgress &task : update.tasks) {
                     const TaskId id{update.id, task.occurrence, task.step, task.index};
-                    m_failed[id] = task.failures;
+                    m_recordedFailures[id] = task.failures;
                     if (task.isDone)
-                        m_noted[id].insert(RunOutcome::Done);
+                        m_recordedOutcomes[id].insert(RunOutcome::Done);
                 }
             }
         }
-        at(m_now + 4 * kTravel, owner, [this, order, isDone](Scheduler &scheduler) {
-            scheduler.onProgressWritten(order.batch, isDone, m_now);
+        at(m_now + 4 * kResponseTime, owner, [this, write, isDone](Scheduler &scheduler) {
+            scheduler.onProgressWritten(write.batch, isDone, m_now);
         });
     }
 
-    CallResult start(FakeWorker &worker, const StartCommand &order, std::int64_t token)
+    CallResult start(FakeWorker &worker, const StartCommand &command, std::int64_t token)
     {
-        const auto stored = m_store.find(order.task.job);
+        const auto stored = m_store.find(command.task.job);
         if (stored == m_store.end()) {
             violations.push_back("a task of a job that nobody submitted was started");
             return CallResult::Invalid;
         }
-        const bool wasThere = worker.runs(order.task);
-        const std::string id = textOf(order.task) + " run " + std::to_string(order.run);
-        // Some jobs can never be done, and some tasks fail once.
-        const bool isHopeless = order.task.job.value % 9 == 0 && order.task.index == 0;
+        const bool wasThere = worker.runs(command.task);
+        const std::string id = textOf(command.task) + " run " + std::to_string(command.run);
+        // Some jobs can never succeed, and other tasks fail at random.
+        const bool isHopeless = command.task.job.value % 9 == 0 && command.task.index == 0;
         const bool fails = isHopeless || chance(0.03);
         const Millis length(pick(50, 900));
-        worker.needs[order.task] = {.milliCores = 1000};
-        const CallResult result = worker.start(order, token, m_now, m_now + length,
+        worker.needs[command.task] = {.milliCores = 1000};
+        const CallResult result = worker.start(command, token, m_now, m_now + length,
                                                fails ? RunOutcome::Failed : RunOutcome::Done);
         if (result != CallResult::Ok || wasThere)
             return result;
         ++starts;
         for (const auto &[other, peer] : m_workers) {
-            if (other != worker.info.id && peer.runs(order.task))
+            if (other != worker.info.id && peer.runs(command.task))
                 violations.push_back(
-                    id + ": two runs at once, beside run " + std::to_string(peer.runOf(order.task))
-                    + (peer.isReachable ? "" : " cut off") + ", ordered by token "
+                    id + ": two runs at once, beside run "
+                    + std::to_string(peer.runOf(command.task))
+                    + (peer.isReachable ? "" : " unreachable") + ", started with token "
                     + std::to_string(token) + " of " + std::to_string(m_token) + ", "
                     + std::to_string(
-                        std::chrono::duration_cast<Millis>(m_now - m_takenOver).count())
+                        std::chrono::duration_cast<Millis>(m_now - m_lastTakeOver).count())
                     + " ms after the take-over");
         }
         if (worker.used().milliCores > worker.info.capacity.milliCores)
-            violations.push_back(id + ": more than the worker holds");
+            violations.push_back(id + ": exceeds the capacity of the worker");
         if (worker.info.pool != ServiceId(kPool))
             violations.push_back(id + ": on a worker of another pool");
-        if (m_noted[order.task].contains(RunOutcome::Done))
-            violations.push_back(id + ": started after its end was noted");
-        // An order that was sent in time and carried out late can't be helped; it is stopped.
-        if (isFinal(stored->second.progress.state) && token == m_token && !m_isCarriedOutLate)
+        if (m_recordedOutcomes[command.task].contains(RunOutcome::Done))
+            violations.push_back(id + ": started after its completion was recorded");
+        // A command that was sent in time and executed late can't be prevented; its run is stopped.
+        if (isFinal(stored->second.progress.state) && token == m_token && !m_isExecutedLate)
             violations.push_back(id + ": started after its job was recorded as ended");
-        const auto cancelled = m_cancelled.find(order.task.job);
+        const auto cancelled = m_cancelled.find(command.task.job);
         if (cancelled != m_cancelled.end() && m_now > cancelled->second + Millis(3000)
             && token == m_token)
             violations.push_back(id + ": started long after its job was cancelled");
-        for (const int earlier : stored->second.spec.steps[order.task.step].after)
-            checkDone(order.task, earlier, id);
-        if (m_failed[order.task] >= stored->second.spec.queue.maxAttempts)
+        for (const int earlier : stored->second.spec.steps[command.task.step].after)
+            checkDone(command.task, earlier, id);
+        if (m_recordedFailures[command.task] >= stored->second.spec.queue.maxAttempts)
             violations.push_back(id + ": started after all attempts had failed");
         return result;
     }
@@ -339,7 +348,7 @@
     {
         const StepSpec &spec = m_store.at(task.job).spec.steps[step];
         for (int index = 0; index < spec.count; ++index) {
-            if (!m_everDone.contains({task.job, 0, step, index}))
+            if (!m_completedTasks.contains({task.job, 0, step, index}))
                 violations.push_back(id + ": before an earlier step was done");
         }
     }
@@ -349,29 +358,30 @@
     std::map<WorkerId, FakeWorker> m_workers;
     std::map<JobId, Stored> m_store;
     std::map<JobId, Instant> m_cancelled;
-    std::map<TaskId, std::set<RunOutcome>> m_noted;
-    std::map<TaskId, int> m_failed;
-    std::set<TaskId> m_everDone;
-    std::multimap<Instant, std::pair<std::int64_t, std::function<void(Scheduler &)>>> m_due;
+    std::map<TaskId, std::set<RunOutcome>> m_recordedOutcomes;
+    std::map<TaskId, int> m_recordedFailures;
+    std::set<TaskId> m_completedTasks;
+    std::multimap<Instant, std::pair<std::int64_t, std::function<void(Scheduler &)>>>
+        m_scheduledCalls;
     std::vector<std::unique_ptr<Owner>> m_owners;
-    bool m_isCarriedOutLate = false;
+    bool m_isExecutedLate = false;
     std::int64_t m_token = 0;
     std::uint64_t m_lastJob = 0;
-    Instant m_takenOver{};
+    Instant m_lastTakeOver{};
 };
 
 } // namespace
 
-TEST_CASE("Scheduler_ordersLostLateAndOwnersDoubled_keepsTheRulesOfStarts", "[scheduler]")
+TEST_CASE("Scheduler_commandsLostOrLateAndOwnersOverlap_everyStartIsAllowed", "[scheduler]")
 {
     int starts = 0;
     const bool holds = rc::check("no start breaks a rule", [&] {
-        World world(*rc::gen::arbitrary<unsigned>());
-        world.play();
-        starts += world.starts;
-        for (const std::string &violation : world.violations)
+        Simulation simulation(*rc::gen::arbitrary<unsigned>());
+        simulation.simulate();
+        starts += simulation.starts;
+        for (const std::string &violation : simulation.violations)
             RC_LOG() << violation << "\n";
-        RC_ASSERT(world.violations.empty());
+        RC_ASSERT(simulation.violations.empty());
     });
     CHECK(holds);
     CHECK(starts > 1000);
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -1,10 +1,10 @@
-// Single situations of the Scheduler, each one that a played day or a hunt has shown.
+// Regression tests of the Scheduler for failures that simulations and randomized tests have found.
 #include "../support/schedulerfixture.h"
 
 using namespace oleanderhall;
 using namespace oleanderhall::test;
 
-TEST_CASE_METHOD(SchedulerTest, "Scheduler_workersNotRead_startsNothing", "[scheduler]")
+TEST_CASE_METHOD(SchedulerTest, "Scheduler_workersNotSynced_startsNothing", "[scheduler]")
 {
     submit(makeJob(1, "pool", {makeStep(2, Millis(100))}));
     CHECK(tick<StartCommand>().empty());
@@ -21,7 +21,8 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_inheritedTaskAndUnlistedWorkerExpected_waits",
                  "[scheduler]")
 {
-    // A cut-off worker may lose its entry and run on (TWICE, cal scale-1).
+    // Guards against two concurrent runs of a task (TWICE, cal scale-1): a partitioned worker may
+    // lose its entry in service discovery while its runs go on.
     Scheduler successor(SchedulerSettings{}, 1, now);
     successor.setWorkers({makeWorker("w1", "pool", 8000)}, now);
     successor.setExpectedWorkers(ServiceId("pool"), {w1, w2});
@@ -31,8 +32,8 @@
     const auto count = [&](const std::vector<SchedulerAction> &actions) {
         for (const SchedulerAction &action : actions) {
             starts += std::holds_alternative<StartCommand>(action) ? 1 : 0;
-            if (const auto *look = std::get_if<PollRequest>(&action))
-                successor.onPollResult(*look, CallResult::Ok, {.clock = Millis(1)}, now, now);
+            if (const auto *poll = std::get_if<PollRequest>(&action))
+                successor.onPollResult(*poll, CallResult::Ok, {.clock = Millis(1)}, now, now);
         }
     };
     for (int step = 0; step < 60; ++step) {
@@ -48,18 +49,19 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_laterRunsEndReadFirst_countsTheEarlierOneToo",
                  "[scheduler]")
 {
-    // A new owner reads workers in any order (BUDGET, cal trouble-1).
+    // Guards against uncounted failures (BUDGET, cal trouble-1): a new owner polls workers in
+    // any order, so the end of an earlier run may be reported after that of a later one.
     syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
     const std::vector<StartCommand> starts = tick<StartCommand>();
     REQUIRE(starts.size() == 1);
     confirm(starts);
     const TaskId task = starts[0].task;
-    PollRequest look = nextPoll(starts[0].worker);
-    answerPoll(look, {},
+    PollRequest poll = nextPoll(starts[0].worker);
+    answerPoll(poll, {},
                {{.sequence = 1, .task = task, .run = 12, .runOutcome = RunOutcome::Failed}});
-    look = nextPoll(starts[0].worker);
-    answerPoll(look, {},
+    poll = nextPoll(starts[0].worker);
+    answerPoll(poll, {},
                {{.sequence = 2, .task = task, .run = 11, .runOutcome = RunOutcome::Failed}});
     const TrackedJob &job = scheduler.jobs().at({1});
     CHECK(job.occurrences[0].steps[0].tasks[0].failures == 2);
@@ -68,7 +70,8 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_silentWorker_isGrantedNoLeaseAndItsRunsAreGivenUp",
                  "[scheduler]")
 {
-    // A crashed worker's runs were never given up (LOST, sui scale-1).
+    // Guards against lost tasks (LOST, sui scale-1): the lease of a crashed worker was extended on
+    // and on, so its tasks were never started elsewhere.
     syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -76,27 +79,28 @@
     const WorkerId silent = starts[0].worker;
     bool isStartedElsewhere = false;
     for (int step = 0; step < 1200 && !isStartedElsewhere; ++step) {
-        for (const StartCommand &order : tick<StartCommand>())
-            isStartedElsewhere = isStartedElsewhere || order.worker != silent;
-        for (const PollRequest &order : std::exchange(polls, {}))
-            answerPoll(order, {}, {},
-                       order.worker == silent ? CallResult::Unknown : CallResult::Ok);
+        for (const StartCommand &start : tick<StartCommand>())
+            isStartedElsewhere = isStartedElsewhere || start.worker != silent;
+        for (const PollRequest &request : std::exchange(polls, {}))
+            answerPoll(request, {}, {},
+                       request.worker == silent ? CallResult::Unknown : CallResult::Ok);
         advance(Millis(10));
     }
     CHECK(isStartedElsewhere);
 }
 
-TEST_CASE_METHOD(SchedulerTest, "Scheduler_oneLostLook_extendsTheLeaseAgain", "[scheduler]")
+TEST_CASE_METHOD(SchedulerTest, "Scheduler_oneLostPoll_extendsTheLeaseAgain", "[scheduler]")
 {
-    // While answers were lost a busy worker's lease ran out (AVAIL, cal trouble-3).
+    // Guards against runs that lose their lease (AVAIL, cal trouble-3): lost answers let the lease
+    // of a busy worker expire.
     syncAllWorkers();
     submit(longRunningJob(1, 1, 1));
     const std::vector<StartCommand> starts = tick<StartCommand>();
     confirm(starts);
-    PollRequest look = nextPoll(starts[0].worker);
-    answerPoll(look, {}, {}, CallResult::Unknown);
-    look = nextPoll(starts[0].worker);
-    CHECK(look.leaseExpiry.count() > 0);
+    PollRequest poll = nextPoll(starts[0].worker);
+    answerPoll(poll, {}, {}, CallResult::Unknown);
+    poll = nextPoll(starts[0].worker);
+    CHECK(poll.leaseExpiry.count() > 0);
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_startUnanswered_workerStaysInUse", "[scheduler]")
@@ -142,9 +146,9 @@
                  .runOutcome = RunOutcome::Done}});
     CHECK(scheduler.jobs().at({1}).state == JobState::Completed);
     for (int step = 0; step < 50; ++step) {
-        for (const PollRequest &order : tick<PollRequest>()) {
-            CHECK(order.acknowledgedEnd == 0);
-            answerPoll(order);
+        for (const PollRequest &request : tick<PollRequest>()) {
+            CHECK(request.acknowledgedEnd == 0);
+            answerPoll(request);
         }
         advance(Millis(10));
     }
@@ -165,7 +169,7 @@
     CHECK(tick<StartCommand>().empty());
 }
 
-TEST_CASE_METHOD(SchedulerTest, "Scheduler_ownershipInDoubt_looksButOrdersNothing", "[scheduler]")
+TEST_CASE_METHOD(SchedulerTest, "Scheduler_ownershipInDoubt_sendsNoCommands", "[scheduler]")
 {
     syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(2, Millis(100))}));
--- a/tests/scheduling/schedulerbudget_test.cpp
+++ b/tests/scheduling/schedulerbudget_test.cpp
@@ -1,4 +1,4 @@
-// When maintenance may end what runs on a worker.
+// Disruption budgets: which runs maintenance may end.
 #include "../support/schedulerfixture.h"
 
 using namespace oleanderhall;
@@ -7,7 +7,7 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_twoTasksOfAStepOnOneWorker_maintenanceMustWait",
                  "[scheduler]")
 {
-    // Both would end together (AVAIL, cal quiet-1).
+    // Both tasks would end at the same time, which exceeds the budget (AVAIL, cal quiet-1).
     syncAllWorkers();
     submit(longRunningJob(1, 2, 1));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -20,7 +20,7 @@
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_tasksOnASilentWorker_maintenanceMustWait", "[scheduler]")
 {
-    // They may be at work, and the other task of the step is away (AVAIL, cal trouble-3).
+    // The runs may still be ready, so ending both would exceed the budget (AVAIL, cal trouble-3).
     syncAllWorkers();
     submit(longRunningJob(1, 2, 1));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -33,7 +33,7 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_evacuationOnASilentWorker_stopsOneTaskAtATime",
                  "[scheduler]")
 {
-    // A task that is being stopped is away, whether its worker answers or not (AVAIL, sui
+    // A task that is being stopped counts as missing, whether its worker answers or not (AVAIL, sui
     // trouble-3 seed 720643743220).
     syncAllWorkers();
     submit(longRunningJob(1, 2, 1));
@@ -54,7 +54,7 @@
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_taskJustStarted_maintenanceMustWait", "[scheduler]")
 {
-    // It may have got to work since the last look (AVAIL, sui hunt-ba63-19).
+    // The task may have become ready since the last poll (AVAIL, sui hunt-ba63-19).
     syncAllWorkers();
     submit(longRunningJob(1, 1, 0));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -75,7 +75,7 @@
     ActiveRun starting = readyRun(starts[1]);
     starting.progressPercent = 40;
     answerPoll(nextPoll(worker), {readyRun(starts[0]), starting});
-    // The one that starts may go; the other may not, before the first is at work again.
+    // The task that is starting may be stopped. The ready one must stay until the other is ready.
     for (int round = 0; round < 2; ++round) {
         scheduler.evacuate({worker}, now);
         for (const StopCommand &stop : tick<StopCommand>())
--- a/tests/scheduling/schedulerplacement_test.cpp
+++ b/tests/scheduling/schedulerplacement_test.cpp
@@ -1,4 +1,4 @@
-// Which tasks the Scheduler starts, and where.
+// Placement: which tasks the Scheduler starts, and on which workers.
 #include "../support/schedulerfixture.h"
 
 using namespace oleanderhall;
@@ -11,8 +11,8 @@
     draining.isDraining = true;
     scheduler.setWorkers({draining, makeWorker("w2", "pool", 8000)}, now);
     submit(makeJob(1, "pool", {makeStep(4, Millis(100))}));
-    for (const StartCommand &order : tick<StartCommand>())
-        CHECK(order.worker == w2);
+    for (const StartCommand &command : tick<StartCommand>())
+        CHECK(command.worker == w2);
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_antiaffinity_limitsTasksOnOneWorker", "[scheduler]")
@@ -36,8 +36,8 @@
     advance(Millis(200));
     const std::vector<StartCommand> starts = tick<StartCommand>();
     REQUIRE(starts.size() == 16);
-    for (const StartCommand &order : starts)
-        CHECK(order.run == starts[0].run);
+    for (const StartCommand &command : starts)
+        CHECK(command.run == starts[0].run);
 }
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_queueWithAdvice_asksOnceAndStartsOnlyWithATicket",
@@ -47,12 +47,12 @@
     JobSpec job = makeJob(1, "pool", {makeStep(3, Millis(100))});
     job.queue.advice = AdviceRule{.ticketLifetime = Millis(3000)};
     submit(job);
-    std::vector<AdviceRequest> asked;
+    std::vector<AdviceRequest> requests;
     int starts = 0;
     const auto collect = [&] {
         for (const SchedulerAction &action : scheduler.tick(now, 0)) {
-            if (const auto *order = std::get_if<AdviceRequest>(&action))
-                asked.push_back(*order);
+            if (const auto *request = std::get_if<AdviceRequest>(&action))
+                requests.push_back(*request);
             if (const auto *start = std::get_if<StartCommand>(&action)) {
                 ++starts;
                 CHECK(start->worker == w2);
@@ -63,9 +63,9 @@
     collect();
     advance(Millis(200));
     collect();
-    REQUIRE(asked.size() == 1);
+    REQUIRE(requests.size() == 1);
     CHECK(starts == 0);
-    scheduler.onAdviceResult(asked[0], true, {{w2, "ticket"}}, now);
+    scheduler.onAdviceResult(requests[0], true, {{w2, "ticket"}}, now);
     collect();
     CHECK(starts == 3);
 }
@@ -87,8 +87,8 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_inheritedJobNotReleased_startsWithoutWaitingForLeases",
                  "[scheduler]")
 {
-    // After an owner was cut off with its zone, jobs that had only waited were held for 7 s (cal
-    // trouble-1).
+    // Guards against needless delay after a change of owner (cal trouble-1): after the loss of the
+    // owner's availability zone, jobs that were never started waited 7 s for leases to expire.
     Scheduler successor(SchedulerSettings{}, 1, now);
     successor.setWorkers({makeWorker("w1", "pool", 8000), makeWorker("w2", "pool", 8000)}, now);
     successor.setExpectedWorkers(ServiceId("pool"), {w1, w2});
@@ -98,12 +98,12 @@
     for (int step = 0; step < 50; ++step) {
         for (const SchedulerAction &action : successor.tick(now, 0)) {
             starts += std::holds_alternative<StartCommand>(action) ? 1 : 0;
-            if (const auto *look = std::get_if<PollRequest>(&action))
-                successor.onPollResult(*look,
-                                       look->worker == w1 ? CallResult::Ok : CallResult::Unknown,
+            if (const auto *poll = std::get_if<PollRequest>(&action))
+                successor.onPollResult(*poll,
+                                       poll->worker == w1 ? CallResult::Ok : CallResult::Unknown,
                                        {.clock = Millis(1)}, now, now);
-            if (const auto *record = std::get_if<ProgressWrite>(&action))
-                successor.onProgressWritten(record->batch, true, now);
+            if (const auto *write = std::get_if<ProgressWrite>(&action))
+                successor.onProgressWritten(write->batch, true, now);
         }
         advance(Millis(10));
     }
--- a/tests/support/fakefleet.cpp
+++ b/tests/support/fakefleet.cpp
@@ -12,63 +12,64 @@
     return false;
 }
 
-CallResult FakeWorker::start(const StartCommand &order, std::int64_t token, Instant now,
-                             Instant ends, RunOutcome outcome)
+CallResult FakeWorker::start(const StartCommand &command, std::int64_t token, Instant now,
+                             Instant endTime, RunOutcome outcome)
 {
     if (isFenced(token))
         return CallResult::Fenced;
-    if (order.leaseExpiry < clock(now))
+    if (command.leaseExpiry < clock(now))
         return CallResult::TooLate;
     for (const FakeRun &run : running) {
-        if (run.task == order.task && run.run == order.run)
+        if (run.task == command.task && run.run == command.run)
             return CallResult::Ok;
     }
-    if (const auto closed = m_closedRuns.find(order.task);
-        closed != m_closedRuns.end() && order.run <= closed->second)
+    if (const auto closed = m_closedRuns.find(command.task);
+        closed != m_closedRuns.end() && command.run <= closed->second)
         return CallResult::RunTooOld;
-    running.push_back({.task = order.task,
-                       .run = order.run,
+    running.push_back({.task = command.task,
+                       .run = command.run,
                        .started = now,
-                       .endTime = ends,
+                       .endTime = endTime,
                        .outcome = outcome,
-                       .checkpoint = order.checkpoint});
-    m_leaseExpiry = std::max(m_leaseExpiry, order.leaseExpiry);
+                       .checkpoint = command.checkpoint});
+    m_leaseExpiry = std::max(m_leaseExpiry, command.leaseExpiry);
     return CallResult::Ok;
 }
 
-CallResult FakeWorker::stop(const StopCommand &order, std::int64_t token, Instant)
+CallResult FakeWorker::stop(const StopCommand &command, std::int64_t token, Instant)
 {
     if (isFenced(token))
         return CallResult::Fenced;
     for (std::size_t index = 0; index < running.size(); ++index) {
-        if (running[index].task == order.task && running[index].run == order.run) {
+        if (running[index].task == command.task && running[index].run == command.run) {
             end(index, RunOutcome::Stopped);
             return CallResult::Ok;
         }
     }
-    std::int64_t &closed = m_closedRuns[order.task];
-    closed = std::max(closed, order.run);
+    std::int64_t &closed = m_closedRuns[command.task];
+    closed = std::max(closed, command.run);
     return CallResult::Ok;
 }
 
-CallResult FakeWorker::poll(const PollRequest &order, std::int64_t token, Instant now,
-                            WorkerStatus &look)
+CallResult FakeWorker::poll(const PollRequest &request, std::int64_t token, Instant now,
+                            WorkerStatus &status)
 {
     if (isFenced(token))
         return CallResult::Fenced;
-    m_leaseExpiry = std::max(m_leaseExpiry, order.leaseExpiry);
+    m_leaseExpiry = std::max(m_leaseExpiry, request.leaseExpiry);
     std::erase_if(ended,
-                  [&](const EndedRun &entry) { return entry.sequence <= order.acknowledgedEnd; });
-    look.clock = clock(now);
-    look.ended = ended;
-    constexpr int kAlmost = 99;
+                  [&](const EndedRun &entry) { return entry.sequence <= request.acknowledgedEnd; });
+    status.clock = clock(now);
+    status.ended = ended;
+    constexpr int kMaxProgressPercent = 99;
     for (const FakeRun &run : running) {
-        const auto whole = std::max<Instant::rep>(1, (run.endTime - run.started).count());
-        const auto percent = static_cast<int>(kAlmost * (now - run.started).count() / whole);
-        look.running.push_back({.task = run.task,
-                                .run = run.run,
-                                .checkpoint = run.checkpoint,
-                                .progressPercent = std::clamp(percent, 0, kAlmost)});
+        const auto duration = std::max<Instant::rep>(1, (run.endTime - run.started).count());
+        const auto percent = static_cast<int>(kMaxProgressPercent * (now - run.started).count()
+                                              / duration);
+        status.running.push_back({.task = run.task,
+                                  .run = run.run,
+                                  .checkpoint = run.checkpoint,
+                                  .progressPercent = std::clamp(percent, 0, kMaxProgressPercent)});
     }
     return CallResult::Ok;
 }
--- a/tests/support/fakefleet.h
+++ b/tests/support/fakefleet.h
@@ -11,7 +11,7 @@
 
 namespace oleanderhall::test {
 
-/// One run at a FakeWorker.
+/// One run on a FakeWorker.
 struct FakeRun
 {
     TaskId task;
@@ -22,7 +22,8 @@
     std::string checkpoint;
 };
 
-/// A worker as the platform describes it: it keeps leases, fences and ends.
+/// An in-memory worker that follows the platform's specification of leases, fencing tokens and
+/// ended runs.
 class FakeWorker
 {
 public:
@@ -36,15 +37,16 @@
     {
         return std::chrono::duration_cast<Millis>(now.time_since_epoch()) + m_clockAhead;
     }
-    CallResult start(const StartCommand &order, std::int64_t token, Instant now, Instant ends,
+    CallResult start(const StartCommand &command, std::int64_t token, Instant now, Instant endTime,
                      RunOutcome outcome);
-    CallResult stop(const StopCommand &order, std::int64_t token, Instant now);
-    CallResult poll(const PollRequest &order, std::int64_t token, Instant now, WorkerStatus &look);
-    /// Ends what is due and, past the lease, everything.
+    CallResult stop(const StopCommand &command, std::int64_t token, Instant now);
+    CallResult poll(const PollRequest &request, std::int64_t token, Instant now,
+                    WorkerStatus &status);
+    /// Ends the runs whose end time has passed, and all runs if the lease has expired.
     void step(Instant now);
     Resources used() const;
     bool runs(const TaskId &task) const { return runOf(task) != 0; }
-    /// Returns the number of the task's run here, or 0.
+    /// Returns the number of the task's active run on this worker, or 0.
     std::int64_t runOf(const TaskId &task) const;
 
     WorkerInfo info;
@@ -61,10 +63,9 @@
     Millis m_leaseExpiry{0};
     std::int64_t m_token = 0;
     std::int64_t m_lastEnd = 0;
-    std::map<TaskId, std::int64_t> m_closedRuns; ///< Highest run stopped or ended.
+    std::map<TaskId, std::int64_t> m_closedRuns; ///< The highest run that was stopped or has ended.
 };
 
-/// Builds jobs for tests.
 JobSpec makeJob(std::uint64_t id, const std::string &pool, std::vector<StepSpec> steps);
 StepSpec makeStep(int count, Millis estimate, std::vector<int> after = {});
 WorkerInfo makeWorker(const std::string &id, const std::string &pool, std::int64_t milliCores);
--- a/tests/support/schedulerfixture.h
+++ b/tests/support/schedulerfixture.h
@@ -9,7 +9,8 @@
 
 namespace oleanderhall::test {
 
-/// Two workers of 8 cores in one pool, and a Scheduler whose term began a minute ago.
+/// A fixture with two workers of 8 cores in one pool and a Scheduler whose term began one minute
+/// ago.
 class SchedulerTest
 {
 protected:
@@ -21,35 +22,37 @@
 
     void advance(Millis time) { now += time; }
 
-    template <typename Order>
-    std::vector<Order> tick(bool mayOrder = true)
+    /// Calls tick(), stores its writes and polls, and returns its actions of type `Action`.
+    template <typename Action>
+    std::vector<Action> tick(bool maySendCommands = true)
     {
-        std::vector<Order> result;
-        for (const SchedulerAction &action : scheduler.tick(now, 0, mayOrder)) {
-            if (const auto *order = std::get_if<Order>(&action))
-                result.push_back(*order);
-            if (const auto *record = std::get_if<ProgressWrite>(&action))
-                writes.push_back(*record);
-            if (const auto *look = std::get_if<PollRequest>(&action))
-                polls.push_back(*look);
+        std::vector<Action> result;
+        for (const SchedulerAction &action : scheduler.tick(now, 0, maySendCommands)) {
+            if (const auto *wanted = std::get_if<Action>(&action))
+                result.push_back(*wanted);
+            if (const auto *write = std::get_if<ProgressWrite>(&action))
+                writes.push_back(*write);
+            if (const auto *poll = std::get_if<PollRequest>(&action))
+                polls.push_back(*poll);
         }
         return result;
     }
 
-    /// Answers a look at `worker` with `running` and `ended`.
-    void answerPoll(const PollRequest &order, std::vector<ActiveRun> running = {},
+    /// Answers a poll with `running` and `ended`.
+    void answerPoll(const PollRequest &request, std::vector<ActiveRun> running = {},
                     std::vector<EndedRun> ended = {}, CallResult result = CallResult::Ok)
     {
-        const WorkerStatus look{.clock = std::chrono::duration_cast<Millis>(now.time_since_epoch()),
-                                .running = std::move(running),
-                                .ended = std::move(ended)};
-        scheduler.onPollResult(order, result, look, now, now);
+        const WorkerStatus status{
+            .clock = std::chrono::duration_cast<Millis>(now.time_since_epoch()),
+            .running = std::move(running),
+            .ended = std::move(ended)};
+        scheduler.onPollResult(request, result, status, now, now);
     }
 
     void syncAllWorkers()
     {
-        for (const PollRequest &order : tick<PollRequest>())
-            answerPoll(order);
+        for (const PollRequest &request : tick<PollRequest>())
+            answerPoll(request);
     }
 
     void submit(JobSpec job)
@@ -58,25 +61,27 @@
         scheduler.addJob(std::move(job), {.id = id, .isReleased = true}, false, now);
     }
 
-    void confirm(const std::vector<StartCommand> &orders)
+    void confirm(const std::vector<StartCommand> &starts)
     {
-        for (const StartCommand &order : orders)
-            scheduler.onStartResult(order, CallResult::Ok, now);
+        for (const StartCommand &start : starts)
+            scheduler.onStartResult(start, CallResult::Ok, now);
     }
 
+    /// Advances time until the next poll of `worker` and returns it. Answers other polls and
+    /// confirms writes.
     PollRequest nextPoll(WorkerId worker)
     {
         for (int step = 0; step < 400; ++step) {
-            for (const PollRequest &order : tick<PollRequest>()) {
-                if (order.worker == worker)
-                    return order;
-                answerPoll(order);
+            for (const PollRequest &request : tick<PollRequest>()) {
+                if (request.worker == worker)
+                    return request;
+                answerPoll(request);
             }
-            for (const ProgressWrite &order : std::exchange(writes, {}))
-                scheduler.onProgressWritten(order.batch, true, now);
+            for (const ProgressWrite &pending : std::exchange(writes, {}))
+                scheduler.onProgressWritten(pending.batch, true, now);
             advance(Millis(10));
         }
-        FAIL("the worker was not looked at for 4 s");
+        FAIL("the worker was not polled for 4 s");
         return {};
     }
 
@@ -88,9 +93,9 @@
         return makeJob(id, "pool", {step});
     }
 
-    static ActiveRun readyRun(const StartCommand &order)
+    static ActiveRun readyRun(const StartCommand &start)
     {
-        return {.task = order.task, .run = order.run, .progressPercent = 100};
+        return {.task = start.task, .run = start.run, .progressPercent = 100};
     }
 
     const WorkerId w1{"w1"};
