--- a/include/oleanderhall/scheduling/jobrank.h
+++ b/include/oleanderhall/scheduling/jobrank.h
@@ -12,8 +12,8 @@
 {
     bool isLongRunning = false;
     int priority = 0; ///< Of the queue; 0 is the highest.
-    double stretch = 1; ///< Of the queue's objective.
-    Millis allowance{0}; ///< Of the queue's objective.
+    double stretch = 1;
+    Millis allowance{0};
     Millis age{0}; ///< Time since the job was accepted.
     Millis criticalPath{0}; ///< Expected run time of the longest chain of dependent steps.
     Millis criticalPathLeft{0}; ///< The same for the steps that are not complete.
@@ -44,6 +44,6 @@
 };
 
 /// Returns the rank of a job. Only ranks computed for the same instant can be compared.
-JobRank rankOf(const JobRankInputs &facts);
+JobRank rankOf(const JobRankInputs &inputs);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/leaseclock.h
+++ b/include/oleanderhall/scheduling/leaseclock.h
@@ -18,7 +18,7 @@
     bool isKnown() const { return m_isKnown; }
     /// Records that the worker's clock showed `clock` at `receivedAt` or shortly before.
     void update(Millis clock, Instant receivedAt);
-    /// Returns the time that the worker's clock shows at `now`, assuming that it is not slow.
+    /// Returns the worker's clock at `now`, extrapolated from the last observation without drift.
     Millis latestTime(Instant now) const;
     /// Records that a command was sent whose lease expires at `expiry` on the worker's clock.
     void recordGranted(Millis expiry);
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -185,21 +185,21 @@
     std::map<WorkerId, WorkerState> m_workers;
     std::map<JobId, TrackedJob> m_jobs;
     std::set<JobId> m_active; ///< Jobs that have not ended.
-    bool m_needsPlacement = true;
+    bool m_needsPlacement = true; ///< Something changed since the last placement.
     Instant m_lastPlacement;
     CongestionWindow m_startWindow; ///< Limits the start commands in flight.
     ServiceId m_firstPool; ///< The pool whose tasks are placed first next time.
     RunTimeModel m_runTimes;
-    std::map<ServiceId, std::vector<WorkerId>> m_expectedWorkers;
+    std::map<ServiceId, std::vector<WorkerId>> m_expectedWorkers; ///< As the platform lists them.
     std::set<WorkerId> m_awaitingMaintenance;
     std::map<ServiceId, ArrivalRate> m_arrivals; ///< Of work, in core-seconds per second.
     TicketCache m_tickets;
-    std::set<JobId> m_dirty;
+    std::set<JobId> m_dirty; ///< Jobs with progress to be recorded.
     std::vector<JobId> m_expiredJobs; ///< Ended jobs whose records are to be deleted.
-    std::uint64_t m_batch = 0;
+    std::uint64_t m_batch = 0; ///< The number of the last write.
     std::optional<std::uint64_t> m_batchInFlight;
-    std::vector<JobId> m_batchJobs;
-    std::vector<JobId> m_batchDropped;
+    std::vector<JobId> m_batchJobs; ///< Jobs updated by the write in flight.
+    std::vector<JobId> m_batchDropped; ///< Jobs deleted by the write in flight.
     Instant m_recordDue;
     std::vector<Decision> m_decisions;
 };
--- a/include/oleanderhall/scheduling/scheduleraction.h
+++ b/include/oleanderhall/scheduling/scheduleraction.h
@@ -18,7 +18,7 @@
     std::int64_t run = 0;
     std::string payload;
     std::string checkpoint;
-    std::string ticket;
+    std::string ticket; ///< Empty if the queue has no policy service.
     Millis leaseExpiry{0}; ///< On the worker's clock.
 };
 
--- a/src/scheduling/jobrank.cpp
+++ b/src/scheduling/jobrank.cpp
@@ -21,22 +21,23 @@
 
 } // namespace
 
-JobRank rankOf(const JobRankInputs &facts)
+JobRank rankOf(const JobRankInputs &inputs)
 {
-    if (facts.isLongRunning)
+    if (inputs.isLongRunning)
         return {.priority = -1};
-    const double objective = facts.stretch * seconds(facts.criticalPath) + seconds(facts.allowance);
-    const double finish = seconds(facts.age) + seconds(facts.criticalPathLeft);
-    JobRank rank{.priority = facts.priority};
+    const double objective = inputs.stretch * seconds(inputs.criticalPath)
+        + seconds(inputs.allowance);
+    const double finish = seconds(inputs.age) + seconds(inputs.criticalPathLeft);
+    JobRank rank{.priority = inputs.priority};
     if (finish > kExpiredAfterObjectives * objective) {
         rank.timeliness = JobRank::Timeliness::Expired;
-        rank.negatedValueDensity = -seconds(facts.age); // the oldest first, so that none starves
+        rank.negatedValueDensity = -seconds(inputs.age); // the oldest first, so that none starves
         return rank;
     }
     rank.timeliness = finish <= objective ? JobRank::Timeliness::InTime : JobRank::Timeliness::Late;
-    const double size = facts.totalWork / std::max(facts.meanWork, kMinWorkCoreSeconds);
+    const double size = inputs.totalWork / std::max(inputs.meanWork, kMinWorkCoreSeconds);
     const double value = std::min(kMaxValue, kFixedValue + (1 - kFixedValue) * size);
-    rank.negatedValueDensity = -value / std::max(facts.workLeft, kMinWorkCoreSeconds);
+    rank.negatedValueDensity = -value / std::max(inputs.workLeft, kMinWorkCoreSeconds);
     return rank;
 }
 
--- a/src/scheduling/schedulerevents.cpp
+++ b/src/scheduling/schedulerevents.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis kCapacityRetryDelay{300}; // a full worker may soon have capacity again
+constexpr Millis kCapacityRetryDelay{300}; // for a worker with less free capacity than assumed
 constexpr int kMaxAvoidDoublings = 4;
 
 } // namespace
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -19,9 +19,11 @@
 // Scores of chooseWorker(). The share of free cores is between 0 and 1.
 constexpr double kFailedHerePenalty = 1000;
 constexpr double kDataRackBonus = 100;
-constexpr double kMaintenancePenalty = 50; // for long-running tasks
-constexpr double kSameStepPenalty = 30.0; // per other task of a step with a disruption budget
-constexpr double kMixedLoadPenalty = 20.0; // per serving run next to one on idle cores, or reversed
+constexpr double kMaintenancePenalty = 50; // only for long-running tasks
+// Per task of the same step on the worker beyond the first, if the step has a disruption budget.
+constexpr double kSameStepPenalty = 30.0;
+// Per serving run for a task on idle cores, and per run on idle cores for a serving task.
+constexpr double kMixedLoadPenalty = 20.0;
 constexpr double kFreeShareWeight = 10.0;
 constexpr int kInUseBonus = 5;
 
@@ -89,23 +91,23 @@
 JobRankInputs Scheduler::rankInputsOf(const TrackedJob &job, const Occurrence &occurrence,
                                       Instant now) const
 {
-    JobRankInputs facts{.isLongRunning = job.isLongRunning(),
-                        .priority = job.spec.queue.priority,
-                        .stretch = job.spec.queue.stretch,
-                        .allowance = job.spec.queue.allowance};
-    if (facts.isLongRunning)
-        return facts;
+    JobRankInputs inputs{.isLongRunning = job.isLongRunning(),
+                         .priority = job.spec.queue.priority,
+                         .stretch = job.spec.queue.stretch,
+                         .allowance = job.spec.queue.allowance};
+    if (inputs.isLongRunning)
+        return inputs;
     Occurrence untouched;
     untouched.steps.resize(job.spec.steps.size());
     for (TrackedStep &step : untouched.steps)
         step.tasks.resize(1); // one open task, so that the step is not complete
-    facts.age = std::chrono::duration_cast<Millis>(now - job.accepted);
-    facts.criticalPath = remainingCriticalPath(job, untouched);
-    facts.criticalPathLeft = remainingCriticalPath(job, occurrence);
-    facts.totalWork = remainingWork(job, untouched);
-    facts.workLeft = remainingWork(job, occurrence);
-    facts.meanWork = m_runTimes.meanWork(job.spec.queue.name);
-    return facts;
+    inputs.age = std::chrono::duration_cast<Millis>(now - job.accepted);
+    inputs.criticalPath = remainingCriticalPath(job, untouched);
+    inputs.criticalPathLeft = remainingCriticalPath(job, occurrence);
+    inputs.totalWork = remainingWork(job, untouched);
+    inputs.workLeft = remainingWork(job, occurrence);
+    inputs.meanWork = m_runTimes.meanWork(job.spec.queue.name);
+    return inputs;
 }
 
 std::vector<Scheduler::Candidate> Scheduler::candidates(ServiceId pool, Instant now)
@@ -302,13 +304,13 @@
             continue;
         int sameStep = 0;
         int serving = 0;
-        int filling = 0;
+        int onIdleCores = 0;
         for (const WorkerRun &run : worker.runs) {
             if (run.task.job == job.spec.id && run.task.occurrence == occurrence.number
                 && run.task.step == step)
                 ++sameStep;
             serving += run.latencyTarget.count() > 0 ? 1 : 0;
-            filling += run.usesIdleCores ? 1 : 0;
+            onIdleCores += run.usesIdleCores ? 1 : 0;
         }
         if (spec.maxPerWorker > 0 && sameStep >= spec.maxPerWorker)
             continue;
@@ -329,7 +331,7 @@
         if (spec.fills)
             score += kFreeShareWeight * free - kMixedLoadPenalty * serving;
         else if (spec.latencyTarget.count() > 0)
-            score += kFreeShareWeight * free - kMixedLoadPenalty * filling;
+            score += kFreeShareWeight * free - kMixedLoadPenalty * onIdleCores;
         else
             score += (worker.runs.empty() ? 0 : kInUseBonus) - kFreeShareWeight * free;
         if (!best || score > bestScore) {
--- a/src/scheduling/schedulertick.cpp
+++ b/src/scheduling/schedulertick.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Millis kLeaseExpirySlack{150}; // on top of the worker's stop time-out
-constexpr Millis kStatusLifetimeSlack{30000}; // on top of statusLifetime
-constexpr Millis kMixedPollWait{700}; // keeps the latency of serving runs up to date
+constexpr Millis kLeaseExpirySlack{150}; // added to the worker's time to stop expired runs
+constexpr Millis kStatusLifetimeSlack{30000}; // added to the time for which a state stays readable
+constexpr Millis kMixedPollWait{700}; // if serving runs share the worker with runs on idle cores
 constexpr Millis kIdleTickInterval{250};
 constexpr Millis kBusyTickInterval{50};
 
--- a/tests/scheduling/jobrank_test.cpp
+++ b/tests/scheduling/jobrank_test.cpp
@@ -41,7 +41,7 @@
 
 using RankFunction = std::function<JobRank(const LoadJob &, double now, double meanWork)>;
 
-JobRankInputs factsOf(const LoadJob &job, double now, double meanWork)
+JobRankInputs rankInputsOf(const LoadJob &job, double now, double meanWork)
 {
     const auto millis = [](double seconds) {
         return Millis(static_cast<Millis::rep>(seconds * 1000));
@@ -66,7 +66,7 @@
 }
 JobRank jobRank(const LoadJob &job, double now, double meanWork)
 {
-    return rankOf(factsOf(job, now, meanWork));
+    return rankOf(rankInputsOf(job, now, meanWork));
 }
 
 /// Returns the jobs of 40 s with bursts of 4.5 s every 18 s, like those of the users' queues.
