--- a/include/oleanderhall/scheduling/queueload.h
+++ b/include/oleanderhall/scheduling/queueload.h
@@ -5,11 +5,11 @@
 
 namespace oleanderhall {
 
-/// How much of one queue is waiting at its owner.
+/// The number of jobs of one queue that wait at the owner.
 struct QueueLoad
 {
     std::string queue;
-    std::int64_t waiting = 0; ///< Accepted jobs of which no task has started.
+    std::int64_t waitingJobs = 0; ///< Accepted jobs of which no task has started.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/workerreport.h
+++ b/include/oleanderhall/scheduling/workerinfo.h
@@ -8,11 +8,11 @@
 
 namespace oleanderhall {
 
-/// Names one life of a host's worker process. A worker that restarts has a new id.
+/// Identifies one incarnation of a host's worker process; a restarted worker has a new id.
 using WorkerId = StrongId<struct WorkerTag>;
 
-/// What a worker's entry in service discovery says of it.
-struct WorkerReport
+/// A worker's entry in service discovery.
+struct WorkerInfo
 {
     WorkerId id;
     ServiceId pool;
@@ -30,7 +30,7 @@
         }
         return false;
     }
-    friend bool operator==(const WorkerReport &, const WorkerReport &) = default;
+    friend bool operator==(const WorkerInfo &, const WorkerInfo &) = default;
 };
 
 } // namespace oleanderhall
--- a/src/scheduling/callresult.cpp
+++ b/src/scheduling/callresult.cpp
@@ -11,7 +11,7 @@
         return "not_sent";
     case CallResult::Unknown:
         return "outcome_unknown";
-    case CallResult::OtherLife:
+    case CallResult::OtherIncarnation:
         return "other_life";
     case CallResult::Fenced:
         return "fenced";
@@ -19,9 +19,9 @@
         return "run_too_old";
     case CallResult::TooLate:
         return "too_late";
-    case CallResult::NoRoom:
+    case CallResult::NoCapacity:
         return "no_room";
-    case CallResult::NoTicket:
+    case CallResult::TicketRejected:
         return "no_ticket";
     case CallResult::Unhealthy:
         return "unhealthy";
--- a/src/scheduling/runtimemodel.cpp
+++ b/src/scheduling/runtimemodel.cpp
@@ -6,36 +6,40 @@
 
 namespace {
 
-constexpr double kWeight = 0.05; // of a new observation, once the first ones are averaged
+// The weight of a new observation, once enough were averaged with equal weights.
+constexpr double kObservationWeight = 0.05;
 constexpr int kManyTasks = 4;
-constexpr double kMaxRatio = 10; // one absurd estimate must not spoil the mean
+constexpr double kMaxEstimateRatio = 10; // keeps one bad estimate from distorting the mean
 
 } // namespace
 
-void RunTimeModel::observe(const std::string &queue, Millis estimate, Millis took)
+void RunTimeModel::observe(const std::string &queue, Millis estimate, Millis runTime)
 {
-    Learned &learned = m_queues[queue];
-    ++learned.seen;
-    const double weight = std::max(kWeight, 1.0 / learned.seen);
-    const auto milliseconds = static_cast<double>(took.count());
-    learned.mean += weight * (milliseconds - learned.mean);
+    QueueStatistics &statistics = m_queues[queue];
+    ++statistics.observations;
+    const double weight = std::max(kObservationWeight, 1.0 / statistics.observations);
+    const auto milliseconds = static_cast<double>(runTime.count());
+    statistics.meanRunTimeMs += weight * (milliseconds - statistics.meanRunTimeMs);
     const double ratio = milliseconds / std::max(1.0, static_cast<double>(estimate.count()));
-    learned.ratio += weight * (std::min(ratio, kMaxRatio) - learned.ratio);
+    statistics.meanEstimateRatio += weight
+        * (std::min(ratio, kMaxEstimateRatio) - statistics.meanEstimateRatio);
 }
 
 Millis RunTimeModel::expected(const std::string &queue, const StepSpec &step) const
 {
     const auto found = m_queues.find(queue);
-    if (found == m_queues.end() || found->second.seen == 0)
+    if (found == m_queues.end() || found->second.observations == 0)
         return step.estimate;
-    const Learned &learned = found->second;
-    const double told = static_cast<double>(step.estimate.count()) * learned.ratio;
-    return Millis(static_cast<Millis::rep>((told + learned.mean) / 2));
+    const QueueStatistics &statistics = found->second;
+    const double corrected = static_cast<double>(step.estimate.count())
+        * statistics.meanEstimateRatio;
+    return Millis(static_cast<Millis::rep>((corrected + statistics.meanRunTimeMs) / 2));
 }
 
 Millis RunTimeModel::longest(const std::string &queue, const StepSpec &step) const
 {
-    // Tasks of a step differ by up to a third; the more there are, the nearer one comes to that.
+    // Run times within a step differ by up to a third. The more tasks a step has, the closer its
+    // longest one comes to that.
     const double spread = step.count == 1 ? 1 : step.count < kManyTasks ? 1.12 : 1.22;
     const Millis typical = expected(queue, step);
     return Millis(static_cast<Millis::rep>(static_cast<double>(typical.count()) * spread));
@@ -43,14 +47,15 @@
 
 void RunTimeModel::observeWork(const std::string &queue, double coreSeconds)
 {
-    Learned &learned = m_queues[queue];
-    learned.work += (learned.work == 0 ? 1 : kWeight) * (coreSeconds - learned.work);
+    QueueStatistics &statistics = m_queues[queue];
+    statistics.meanJobWork += (statistics.meanJobWork == 0 ? 1 : kObservationWeight)
+        * (coreSeconds - statistics.meanJobWork);
 }
 
 double RunTimeModel::meanWork(const std::string &queue) const
 {
     const auto found = m_queues.find(queue);
-    return found == m_queues.end() ? 0 : found->second.work;
+    return found == m_queues.end() ? 0 : found->second.meanJobWork;
 }
 
 } // namespace oleanderhall
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -1,4 +1,4 @@
-// Which waiting task runs next, and on which worker.
+// Placement: which waiting task starts next, and on which worker.
 #include "oleanderhall/scheduling/scheduler.h"
 
 #include <algorithm>
@@ -9,10 +9,23 @@
 namespace {
 
 constexpr std::int64_t kRunsPerGeneration = 1000;
-constexpr std::size_t kMaxRefusedSteps = 40; // a full pool is not searched to the end
+constexpr std::size_t kMaxUnplacedSteps = 40; // bounds the search of a full pool
 constexpr double kMilliPerUnit = 1000;
-constexpr std::size_t kReleaseAhead = 12; // jobs of a pool; more wait longer after a take-over
-constexpr std::size_t kAdvicePerCall = 12; // asking costs time for each worker named
+// Per pool. Released jobs must wait for earlier leases after a take-over, so more would delay more
+// jobs then.
+constexpr std::size_t kMaxJobsReleasedAhead = 12;
+constexpr std::size_t kMaxWorkersPerAdvice = 12; // each worker adds to the response time
+
+// Scores of chooseWorker(). The share of free cores is between 0 and 1.
+constexpr double kFailedHerePenalty = 1000;
+constexpr double kDataRackBonus = 100;
+constexpr double kMaintenancePenalty = 50; // only for long-running tasks
+// Per task of the same step on the worker beyond the first, if the step has a disruption budget.
+constexpr double kSameStepPenalty = 30.0;
+// Per serving run for a task on idle cores, and per run on idle cores for a serving task.
+constexpr double kMixedLoadPenalty = 20.0;
+constexpr double kFreeShareWeight = 10.0;
+constexpr int kInUseBonus = 5;
 
 double seconds(Millis time)
 {
@@ -26,12 +39,13 @@
 
 } // namespace
 
-std::int64_t Scheduler::nextRun(std::int64_t last) const
+std::int64_t Scheduler::nextRunNumber(std::int64_t last) const
 {
     return std::max(last + 1, m_generation * kRunsPerGeneration + 1);
 }
 
-bool Scheduler::isReady(const JobRun &job, const Occurrence &occurrence, int step) const
+bool Scheduler::areDependenciesDone(const TrackedJob &job, const Occurrence &occurrence,
+                                    int step) const
 {
     const auto &after = job.spec.steps[static_cast<std::size_t>(step)].after;
     return std::all_of(after.begin(), after.end(), [&](int earlier) {
@@ -39,15 +53,15 @@
     });
 }
 
-bool Scheduler::mayStart(const JobRun &job, const TaskRun &task, Instant now) const
+bool Scheduler::mayStart(const TrackedJob &job, const TrackedTask &task, Instant now) const
 {
     if (task.isDone || task.isPlaced)
         return false;
-    return !task.mayRunUnseen || now - m_begun >= m_settings.inheritedWait
-        || isRead(job.spec.queue.service);
+    return !task.mayRunOnUnsyncedWorker || now - m_termStart >= m_settings.inheritedTaskDelay
+        || isSynced(job.spec.queue.service);
 }
 
-Millis Scheduler::remainingChain(const JobRun &job, const Occurrence &occurrence) const
+Millis Scheduler::remainingCriticalPath(const TrackedJob &job, const Occurrence &occurrence) const
 {
     std::vector<Millis> ends(job.spec.steps.size(), Millis(0));
     Millis longest{0};
@@ -63,55 +77,56 @@
     return longest;
 }
 
-double Scheduler::remainingWork(const JobRun &job, const Occurrence &occurrence) const
+double Scheduler::remainingWork(const TrackedJob &job, const Occurrence &occurrence) const
 {
     double work = 0;
     for (std::size_t step = 0; step < job.spec.steps.size(); ++step) {
         const StepSpec &spec = job.spec.steps[step];
-        const auto left = static_cast<double>(spec.count - occurrence.steps[step].done);
+        const auto left = static_cast<double>(spec.count - occurrence.steps[step].doneTasks);
         work += left * coreSeconds(spec, m_runTimes.expected(job.spec.queue.name, spec));
     }
     return work;
 }
 
-JobFacts Scheduler::factsOf(const JobRun &job, const Occurrence &occurrence, Instant now) const
+JobRankInputs Scheduler::rankInputsOf(const TrackedJob &job, const Occurrence &occurrence,
+                                      Instant now) const
 {
-    JobFacts facts{.isLongRunning = job.isLongRunning(),
-                   .priority = job.spec.queue.priority,
-                   .stretch = job.spec.queue.stretch,
-                   .allowance = job.spec.queue.allowance};
-    if (facts.isLongRunning)
-        return facts;
+    JobRankInputs inputs{.isLongRunning = job.isLongRunning(),
+                         .priority = job.spec.queue.priority,
+                         .stretch = job.spec.queue.stretch,
+                         .allowance = job.spec.queue.allowance};
+    if (inputs.isLongRunning)
+        return inputs;
     Occurrence untouched;
     untouched.steps.resize(job.spec.steps.size());
-    for (StepRun &step : untouched.steps)
-        step.tasks.resize(1); // a step that is not complete
-    facts.age = std::chrono::duration_cast<Millis>(now - job.accepted);
-    facts.wholeChain = remainingChain(job, untouched);
-    facts.chainLeft = remainingChain(job, occurrence);
-    facts.wholeWork = remainingWork(job, untouched);
-    facts.workLeft = remainingWork(job, occurrence);
-    facts.meanWork = m_runTimes.meanWork(job.spec.queue.name);
-    return facts;
+    for (TrackedStep &step : untouched.steps)
+        step.tasks.resize(1); // one open task, so that the step is not complete
+    inputs.age = std::chrono::duration_cast<Millis>(now - job.accepted);
+    inputs.criticalPath = remainingCriticalPath(job, untouched);
+    inputs.criticalPathLeft = remainingCriticalPath(job, occurrence);
+    inputs.totalWork = remainingWork(job, untouched);
+    inputs.workLeft = remainingWork(job, occurrence);
+    inputs.meanWork = m_runTimes.meanWork(job.spec.queue.name);
+    return inputs;
 }
 
 std::vector<Scheduler::Candidate> Scheduler::candidates(ServiceId pool, Instant now)
 {
     std::vector<Candidate> result;
     for (const JobId id : m_active) {
-        JobRun &job = m_jobs.at(id);
+        TrackedJob &job = m_jobs.at(id);
         if (job.spec.queue.service != pool)
             continue;
         for (Occurrence &occurrence : job.occurrences) {
             for (int step = 0; step < static_cast<int>(occurrence.steps.size()); ++step) {
-                const StepRun &run = occurrence.steps[static_cast<std::size_t>(step)];
-                if (run.done + run.placed >= static_cast<int>(run.tasks.size())
-                    || !isReady(job, occurrence, step))
+                const TrackedStep &run = occurrence.steps[static_cast<std::size_t>(step)];
+                if (run.doneTasks + run.placedTasks >= static_cast<int>(run.tasks.size())
+                    || !areDependenciesDone(job, occurrence, step))
                     continue;
                 result.push_back({.job = &job,
                                   .occurrence = &occurrence,
                                   .step = step,
-                                  .rank = rankOf(factsOf(job, occurrence, now))});
+                                  .rank = rankOf(rankInputsOf(job, occurrence, now))});
             }
         }
     }
@@ -122,22 +137,23 @@
 
 void Scheduler::place(Instant now, std::vector<SchedulerAction> &out)
 {
-    constexpr Millis kPlaceAtLeast{100}; // times pass even when nothing else changes
-    if (!m_hasChanged && now - m_placed < kPlaceAtLeast)
+    constexpr Millis kMaxPlacementInterval{100}; // time limits pass without any event
+    if (!m_needsPlacement && now - m_lastPlacement < kMaxPlacementInterval)
         return;
-    m_hasChanged = false;
-    m_placed = now;
+    m_needsPlacement = false;
+    m_lastPlacement = now;
     std::set<ServiceId> busy;
     for (const JobId id : m_active)
         busy.insert(m_jobs.at(id).spec.queue.service);
-    // While the window is full, the pools take turns.
+    // Starts with the pool after the one where the window was full the last time, so that every
+    // pool gets its share of the start commands.
     std::vector<ServiceId> pools(busy.lower_bound(m_firstPool), busy.end());
     pools.insert(pools.end(), busy.begin(), busy.lower_bound(m_firstPool));
     for (auto pool = pools.begin(); pool != pools.end(); ++pool) {
         placePool(*pool, now, out);
         if (!m_startWindow.isOpen()) {
             m_firstPool = pool + 1 == pools.end() ? pools.front() : *(pool + 1);
-            m_hasChanged = true;
+            m_needsPlacement = true;
             return;
         }
     }
@@ -145,17 +161,18 @@
 
 void Scheduler::placePool(ServiceId pool, Instant now, std::vector<SchedulerAction> &out)
 {
-    std::size_t refused = 0;
+    std::size_t unplaced = 0;
     std::size_t releasing = 0;
     for (const Candidate &candidate : candidates(pool, now)) {
-        JobRun &job = *candidate.job;
-        if (!job.mayStart) {
-            // The next in order are released ahead of the room for them.
-            if (++releasing > kReleaseAhead)
+        TrackedJob &job = *candidate.job;
+        if (!job.isReleaseRecorded) {
+            // Releases the next jobs before there is capacity for them, because they can't start
+            // until the release is durable.
+            if (++releasing > kMaxJobsReleasedAhead)
                 break;
             if (!job.isReleased) {
                 job.isReleased = true;
-                makeDirty(job);
+                markDirty(job);
             }
             continue;
         }
@@ -163,7 +180,7 @@
             break;
         const std::size_t before = out.size();
         placeStep(candidate, now, out);
-        if (out.size() == before && ++refused >= kMaxRefusedSteps)
+        if (out.size() == before && ++unplaced >= kMaxUnplacedSteps)
             break;
     }
 }
@@ -171,11 +188,11 @@
 void Scheduler::placeStep(const Candidate &candidate, Instant now,
                           std::vector<SchedulerAction> &out)
 {
-    JobRun &job = *candidate.job;
+    TrackedJob &job = *candidate.job;
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(candidate.step)];
-    StepRun &step = candidate.occurrence->steps[static_cast<std::size_t>(candidate.step)];
+    TrackedStep &step = candidate.occurrence->steps[static_cast<std::size_t>(candidate.step)];
     if (job.spec.queue.advice)
-        askAdvice(candidate, now, out);
+        requestAdvice(candidate, now, out);
     if (spec.isGang) {
         placeGang(job, *candidate.occurrence, candidate.step, now, out);
         return;
@@ -190,86 +207,86 @@
     }
 }
 
-/// Asks for tickets for workers with room when the step holds none that is valid.
-void Scheduler::askAdvice(const Candidate &candidate, Instant now,
-                          std::vector<SchedulerAction> &out)
+/// Requests tickets for workers with enough free capacity unless the step has a valid one.
+void Scheduler::requestAdvice(const Candidate &candidate, Instant now,
+                              std::vector<SchedulerAction> &out)
 {
-    const JobRun &job = *candidate.job;
-    const Tickets::Step key{job.spec.id, candidate.occurrence->number, candidate.step};
-    if (m_tickets.isAsking(key))
+    const TrackedJob &job = *candidate.job;
+    const TicketCache::StepKey key{job.spec.id, candidate.occurrence->number, candidate.step};
+    if (m_tickets.isRequestPending(key))
         return;
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(candidate.step)];
-    AdviceOrder order{.job = key.job, .occurrence = key.occurrence, .step = key.step};
+    AdviceRequest request{.job = key.job, .occurrence = key.occurrence, .step = key.step};
     for (const auto &[id, worker] : m_workers) {
-        if (worker.report.pool != job.spec.queue.service || !worker.takesNew(now)
-            || !spec.need.fitsInto(worker.room()) || m_tickets.isDenied(key, id))
+        if (worker.info.pool != job.spec.queue.service || !worker.acceptsNewTasks(now)
+            || !spec.need.fitsInto(worker.freeCapacity()) || m_tickets.isDenied(key, id))
             continue;
         if (!m_tickets.find(key, id, now).empty())
-            return; // enough to go on with
-        if (order.workers.size() < kAdvicePerCall)
-            order.workers.push_back(id);
+            return; // one valid ticket is enough to place a task
+        if (request.workers.size() < kMaxWorkersPerAdvice)
+            request.workers.push_back(id);
     }
-    if (order.workers.empty())
+    if (request.workers.empty())
         return;
-    m_tickets.ask(key);
-    out.emplace_back(std::move(order));
+    m_tickets.addPendingRequest(key);
+    out.emplace_back(std::move(request));
 }
 
-bool Scheduler::placeTask(JobRun &job, Occurrence &occurrence, int step, int index, Instant now,
+bool Scheduler::placeTask(TrackedJob &job, Occurrence &occurrence, int step, int index, Instant now,
                           std::vector<SchedulerAction> &out)
 {
-    TaskRun &task = occurrence.steps[static_cast<std::size_t>(step)]
-                        .tasks[static_cast<std::size_t>(index)];
+    TrackedTask &task = occurrence.steps[static_cast<std::size_t>(step)]
+                            .tasks[static_cast<std::size_t>(index)];
     WorkerState *worker = chooseWorker(job, occurrence, step, task, now);
     if (!worker)
         return false;
     const TaskId id{job.spec.id, occurrence.number, step, index};
-    startRun(*worker, job, id, nextRun(task.lastRun), now, out);
+    startRun(*worker, job, id, nextRunNumber(task.lastRun), now, out);
     return true;
 }
 
-void Scheduler::placeGang(JobRun &job, Occurrence &occurrence, int step, Instant now,
+void Scheduler::placeGang(TrackedJob &job, Occurrence &occurrence, int step, Instant now,
                           std::vector<SchedulerAction> &out)
 {
-    StepRun &run = occurrence.steps[static_cast<std::size_t>(step)];
-    if (run.placed > 0)
-        return; // the whole gang starts together, once every earlier member is gone
-    std::int64_t next = run.gangRun;
+    TrackedStep &run = occurrence.steps[static_cast<std::size_t>(step)];
+    if (run.placedTasks > 0)
+        return; // all tasks of a gang start together, after every earlier run has ended
+    std::int64_t next = run.lastGangRun;
     std::string checkpoint;
-    for (const TaskRun &task : run.tasks) {
+    for (const TrackedTask &task : run.tasks) {
         if (!mayStart(job, task, now))
             return;
         next = std::max(next, task.lastRun);
         checkpoint = std::max(checkpoint, task.checkpoint);
     }
-    next = nextRun(next);
-    // Members are placed one by one on trial; without room for all, none is started.
-    std::vector<SchedulerAction> orders;
+    next = nextRunNumber(next);
+    // Places the tasks one by one; if one does not fit, all placements are undone.
+    std::vector<SchedulerAction> starts;
     for (int index = 0; index < static_cast<int>(run.tasks.size()); ++index) {
-        TaskRun &task = run.tasks[static_cast<std::size_t>(index)];
+        TrackedTask &task = run.tasks[static_cast<std::size_t>(index)];
         task.checkpoint = checkpoint;
         WorkerState *worker = chooseWorker(job, occurrence, step, task, now);
         if (!worker) {
-            for (const SchedulerAction &order : orders) {
-                const auto &start = std::get<StartOrder>(order);
+            for (const SchedulerAction &action : starts) {
+                const auto &start = std::get<StartCommand>(action);
                 WorkerState &holder = m_workers.at(start.worker);
                 WorkerRun *placed = findRun(holder, start.task, start.run);
                 const WorkerRun ended = *placed;
                 removeRun(holder, static_cast<std::size_t>(placed - holder.runs.data()));
-                release(ended, now);
-                m_startWindow.withdrawn();
+                unplace(ended, now);
+                m_startWindow.onWithdrawn();
             }
-            m_hasChanged = false;
+            m_needsPlacement = false;
             return;
         }
-        startRun(*worker, job, {job.spec.id, occurrence.number, step, index}, next, now, orders);
+        startRun(*worker, job, {job.spec.id, occurrence.number, step, index}, next, now, starts);
     }
-    run.gangRun = next;
-    std::move(orders.begin(), orders.end(), std::back_inserter(out));
+    run.lastGangRun = next;
+    std::move(starts.begin(), starts.end(), std::back_inserter(out));
 }
 
-WorkerState *Scheduler::chooseWorker(const JobRun &job, const Occurrence &occurrence, int step,
-                                     const TaskRun &task, Instant now)
+WorkerState *Scheduler::chooseWorker(const TrackedJob &job, const Occurrence &occurrence, int step,
+                                     const TrackedTask &task, Instant now)
 {
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(step)];
     Resources need = spec.need;
@@ -278,44 +295,45 @@
     WorkerState *best = nullptr;
     double bestScore = 0;
     for (auto &[id, worker] : m_workers) {
-        if (worker.report.pool != job.spec.queue.service || !worker.takesNew(now)
-            || !need.fitsInto(worker.room())
-            || (!spec.requiredLabel.empty() && !worker.report.hasLabel(spec.requiredLabel)))
+        if (worker.info.pool != job.spec.queue.service || !worker.acceptsNewTasks(now)
+            || !need.fitsInto(worker.freeCapacity())
+            || (!spec.requiredLabel.empty() && !worker.info.hasLabel(spec.requiredLabel)))
             continue;
         if (job.spec.queue.advice
             && m_tickets.find({job.spec.id, occurrence.number, step}, id, now).empty())
             continue;
-        int alike = 0;
+        int sameStep = 0;
         int serving = 0;
-        int filling = 0;
+        int onIdleCores = 0;
         for (const WorkerRun &run : worker.runs) {
             if (run.task.job == job.spec.id && run.task.occurrence == occurrence.number
                 && run.task.step == step)
-                ++alike;
+                ++sameStep;
             serving += run.latencyTarget.count() > 0 ? 1 : 0;
-            filling += run.fills ? 1 : 0;
+            onIdleCores += run.usesIdleCores ? 1 : 0;
         }
-        if (spec.maxPerWorker > 0 && alike >= spec.maxPerWorker)
+        if (spec.maxPerWorker > 0 && sameStep >= spec.maxPerWorker)
             continue;
-        // Higher is better: not where it failed, near its data, then packed tightly.
+        // The highest score wins: avoids workers where the task failed, prefers the rack of its
+        // data, then fills workers that are in use.
         double score = 0;
         if (std::find(task.failedOn.begin(), task.failedOn.end(), id) != task.failedOn.end())
-            score -= 1000;
-        if (!spec.dataRack.empty() && worker.report.hasLabel(spec.dataRack))
-            score += 100;
-        if (spec.isLongRunning && m_dueSoon.contains(id))
-            score -= 50;
+            score -= kFailedHerePenalty;
+        if (!spec.dataRack.empty() && worker.info.hasLabel(spec.dataRack))
+            score += kDataRackBonus;
+        if (spec.isLongRunning && m_awaitingMaintenance.contains(id))
+            score -= kMaintenancePenalty;
         if (spec.isLongRunning && spec.mayMiss >= 0)
-            score -= 30.0 * std::max(0, alike - 1); // a lost host should not take most of them
+            score -= kSameStepPenalty * std::max(0, sameStep - 1); // limits the loss of one host
         const auto capacity = static_cast<double>(
-            std::max<std::int64_t>(worker.report.capacity.milliCores, 1));
-        const double free = static_cast<double>(worker.room().milliCores) / capacity;
+            std::max<std::int64_t>(worker.info.capacity.milliCores, 1));
+        const double free = static_cast<double>(worker.freeCapacity().milliCores) / capacity;
         if (spec.fills)
-            score += 10.0 * free - 20.0 * serving;
+            score += kFreeShareWeight * free - kMixedLoadPenalty * serving;
         else if (spec.latencyTarget.count() > 0)
-            score += 10.0 * free - 20.0 * filling;
+            score += kFreeShareWeight * free - kMixedLoadPenalty * onIdleCores;
         else
-            score += (worker.runs.empty() ? 0 : 5) - 10.0 * free;
+            score += (worker.runs.empty() ? 0 : kInUseBonus) - kFreeShareWeight * free;
         if (!best || score > bestScore) {
             best = &worker;
             bestScore = score;
@@ -324,60 +342,60 @@
     return best;
 }
 
-void Scheduler::startRun(WorkerState &worker, JobRun &job, const TaskId &id, std::int64_t number,
-                         Instant now, std::vector<SchedulerAction> &out)
+void Scheduler::startRun(WorkerState &worker, TrackedJob &job, const TaskId &id,
+                         std::int64_t number, Instant now, std::vector<SchedulerAction> &out)
 {
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(id.step)];
-    StepRun &step = *findStep(id);
-    TaskRun &task = step.tasks[static_cast<std::size_t>(id.index)];
+    TrackedStep &step = *findStep(id);
+    TrackedTask &task = step.tasks[static_cast<std::size_t>(id.index)];
     WorkerRun run{.task = id, .run = number};
-    run.need = spec.need;
+    run.reservation = spec.need;
     if (spec.fills)
-        run.need.milliCores = 0;
-    run.fills = spec.fills;
+        run.reservation.milliCores = 0;
+    run.usesIdleCores = spec.fills;
     run.isLongRunning = spec.isLongRunning;
     run.latencyTarget = spec.latencyTarget;
-    run.ordered = now;
-    run.tries = 1;
-    run.isOrderInFlight = true;
+    run.startSent = now;
+    run.startAttempts = 1;
+    run.isCommandInFlight = true;
     task.isPlaced = true;
-    task.mayRunUnseen = false;
-    task.worker = worker.report.id;
+    task.mayRunOnUnsyncedWorker = false;
+    task.worker = worker.info.id;
     task.lastRun = number;
-    ++step.placed;
-    worker.used += run.need;
+    ++step.placedTasks;
+    worker.used += run.reservation;
     if (worker.runs.empty())
-        worker.lookDue = std::max(worker.lookDue, now + m_settings.lookSpacing);
+        worker.nextPoll = std::max(worker.nextPoll, now + m_settings.pollSpacing);
     worker.runs.push_back(run);
     if (job.state == JobState::Queued) {
         job.state = JobState::Running;
-        makeLazilyDirty(job, now);
+        markLazilyDirty(job, now);
         const auto waited = std::chrono::duration_cast<Millis>(now - job.accepted);
-        decided({"job_started",
-                 {{"job", textOf(id.job)},
-                  {"queue", job.spec.queue.name},
-                  {"waited_ms", std::to_string(waited.count())}},
-                 false,
-                 waited});
+        logDecision({"job_started",
+                     {{"job", textOf(id.job)},
+                      {"queue", job.spec.queue.name},
+                      {"waited_ms", std::to_string(waited.count())}},
+                     false,
+                     waited});
     }
-    out.emplace_back(startOrder(worker, job, worker.runs.back(), now));
+    out.emplace_back(makeStartCommand(worker, job, worker.runs.back(), now));
 }
 
-StartOrder Scheduler::startOrder(WorkerState &worker, const JobRun &job, const WorkerRun &run,
-                                 Instant now)
+StartCommand Scheduler::makeStartCommand(WorkerState &worker, const TrackedJob &job,
+                                         const WorkerRun &run, Instant now)
 {
-    StartOrder order{.worker = worker.report.id,
-                     .task = run.task,
-                     .run = run.run,
-                     .payload = job.spec.payload,
-                     .checkpoint = findTask(run.task)->checkpoint};
+    StartCommand command{.worker = worker.info.id,
+                         .task = run.task,
+                         .run = run.run,
+                         .payload = job.spec.payload,
+                         .checkpoint = findTask(run.task)->checkpoint};
     if (job.spec.queue.advice)
-        order.ticket = m_tickets.find({run.task.job, run.task.occurrence, run.task.step},
-                                      worker.report.id, now);
-    order.leaseEnd = worker.clock.latest(now) + m_settings.workerLease;
-    worker.clock.grant(order.leaseEnd);
-    m_startWindow.sent();
-    return order;
+        command.ticket = m_tickets.find({run.task.job, run.task.occurrence, run.task.step},
+                                        worker.info.id, now);
+    command.leaseExpiry = worker.clock.latestTime(now) + m_settings.workerLease;
+    worker.clock.recordGranted(command.leaseExpiry);
+    m_startWindow.onSent();
+    return command;
 }
 
 } // namespace oleanderhall
--- a/tests/support/fakefleet.h
+++ b/tests/support/fakefleet.h
@@ -11,24 +11,25 @@
 
 namespace oleanderhall::test {
 
-/// One run at a FakeWorker.
+/// One run on a FakeWorker.
 struct FakeRun
 {
     TaskId task;
     std::int64_t run = 0;
     Instant started;
-    Instant ends;
-    RunEnd outcome = RunEnd::Done;
+    Instant endTime;
+    RunOutcome outcome = RunOutcome::Done;
     std::string checkpoint;
 };
 
-/// A worker as the platform describes it: it keeps leases, fences and ends.
+/// An in-memory worker that follows the platform's specification of leases, fencing tokens and
+/// ended runs.
 class FakeWorker
 {
 public:
     FakeWorker() = default;
-    FakeWorker(WorkerReport entry, Millis clockAhead)
-        : report(std::move(entry))
+    FakeWorker(WorkerInfo entry, Millis clockAhead)
+        : info(std::move(entry))
         , m_clockAhead(clockAhead)
     {}
 
@@ -36,37 +37,37 @@
     {
         return std::chrono::duration_cast<Millis>(now.time_since_epoch()) + m_clockAhead;
     }
-    CallResult start(const StartOrder &order, std::int64_t token, Instant now, Instant ends,
-                     RunEnd outcome);
-    CallResult stop(const StopOrder &order, std::int64_t token, Instant now);
-    CallResult look(const LookOrder &order, std::int64_t token, Instant now, WorkerLook &look);
-    /// Ends what is due and, past the lease, everything.
+    CallResult start(const StartCommand &command, std::int64_t token, Instant now, Instant endTime,
+                     RunOutcome outcome);
+    CallResult stop(const StopCommand &command, std::int64_t token, Instant now);
+    CallResult poll(const PollRequest &request, std::int64_t token, Instant now,
+                    WorkerStatus &status);
+    /// Ends the runs whose end time has passed, and all runs if the lease has expired.
     void step(Instant now);
     Resources used() const;
     bool runs(const TaskId &task) const { return runOf(task) != 0; }
-    /// Returns the number of the task's run here, or 0.
+    /// Returns the number of the task's active run on this worker, or 0.
     std::int64_t runOf(const TaskId &task) const;
 
-    WorkerReport report;
+    WorkerInfo info;
     bool isReachable = true;
     std::vector<FakeRun> running;
-    std::vector<EndedTask> ended;
+    std::vector<EndedRun> ended;
     std::map<TaskId, Resources> needs;
 
 private:
-    void end(std::size_t index, RunEnd how);
+    void end(std::size_t index, RunOutcome how);
     bool isFenced(std::int64_t token);
 
     Millis m_clockAhead{0};
-    Millis m_leaseEnd{0};
+    Millis m_leaseExpiry{0};
     std::int64_t m_token = 0;
-    std::int64_t m_ends = 0;
-    std::map<TaskId, std::int64_t> m_closedRuns; ///< Highest run stopped or ended.
+    std::int64_t m_lastEnd = 0;
+    std::map<TaskId, std::int64_t> m_closedRuns; ///< The highest run that was stopped or has ended.
 };
 
-/// Builds jobs for tests.
 JobSpec makeJob(std::uint64_t id, const std::string &pool, std::vector<StepSpec> steps);
 StepSpec makeStep(int count, Millis estimate, std::vector<int> after = {});
-WorkerReport makeWorker(const std::string &id, const std::string &pool, std::int64_t milliCores);
+WorkerInfo makeWorker(const std::string &id, const std::string &pool, std::int64_t milliCores);
 
 } // namespace oleanderhall::test
--- a/tests/support/schedulerfixture.h
+++ b/tests/support/schedulerfixture.h
@@ -9,79 +9,83 @@
 
 namespace oleanderhall::test {
 
-/// Two workers of 8 cores in one pool, and a Scheduler whose term began a minute ago.
+/// A fixture with two workers of 8 cores in one pool and a Scheduler whose term began one minute
+/// ago.
 class SchedulerTest
 {
 protected:
     SchedulerTest()
     {
-        scheduler.listWorkers({makeWorker("w1", "pool", 8000), makeWorker("w2", "pool", 8000)},
-                              now);
-        scheduler.expectWorkers(ServiceId("pool"), {w1, w2});
+        scheduler.setWorkers({makeWorker("w1", "pool", 8000), makeWorker("w2", "pool", 8000)}, now);
+        scheduler.setExpectedWorkers(ServiceId("pool"), {w1, w2});
     }
 
     void advance(Millis time) { now += time; }
 
-    template <typename Order>
-    std::vector<Order> tick(bool mayOrder = true)
+    /// Calls tick(), stores its writes and polls, and returns its actions of type `Action`.
+    template <typename Action>
+    std::vector<Action> tick(bool maySendCommands = true)
     {
-        std::vector<Order> result;
-        for (const SchedulerAction &action : scheduler.tick(now, 0, mayOrder)) {
-            if (const auto *order = std::get_if<Order>(&action))
-                result.push_back(*order);
-            if (const auto *record = std::get_if<RecordOrder>(&action))
-                records.push_back(*record);
-            if (const auto *look = std::get_if<LookOrder>(&action))
-                looks.push_back(*look);
+        std::vector<Action> result;
+        for (const SchedulerAction &action : scheduler.tick(now, 0, maySendCommands)) {
+            if (const auto *wanted = std::get_if<Action>(&action))
+                result.push_back(*wanted);
+            if (const auto *write = std::get_if<ProgressWrite>(&action))
+                writes.push_back(*write);
+            if (const auto *poll = std::get_if<PollRequest>(&action))
+                polls.push_back(*poll);
         }
         return result;
     }
 
-    /// Answers a look at `worker` with `running` and `ended`.
-    void answerLook(const LookOrder &order, std::vector<RunningTask> running = {},
-                    std::vector<EndedTask> ended = {}, CallResult result = CallResult::Ok)
+    /// Answers a poll with `running` and `ended`.
+    void answerPoll(const PollRequest &request, std::vector<ActiveRun> running = {},
+                    std::vector<EndedRun> ended = {}, CallResult result = CallResult::Ok)
     {
-        const WorkerLook look{.clock = std::chrono::duration_cast<Millis>(now.time_since_epoch()),
-                              .running = std::move(running),
-                              .ended = std::move(ended)};
-        scheduler.lookAnswered(order, result, look, now, now);
+        const WorkerStatus status{
+            .clock = std::chrono::duration_cast<Millis>(now.time_since_epoch()),
+            .running = std::move(running),
+            .ended = std::move(ended)};
+        scheduler.onPollResult(request, result, status, now, now);
     }
 
-    void readAllWorkers()
+    void syncAllWorkers()
     {
-        for (const LookOrder &order : tick<LookOrder>())
-            answerLook(order);
+        for (const PollRequest &request : tick<PollRequest>())
+            answerPoll(request);
     }
 
     void submit(JobSpec job)
     {
         const JobId id = job.id;
-        scheduler.accept(std::move(job), {.id = id, .isReleased = true}, false, now);
+        scheduler.addJob(std::move(job), {.id = id, .isReleased = true}, false, now);
     }
 
-    void confirm(const std::vector<StartOrder> &orders)
+    void confirm(const std::vector<StartCommand> &starts)
     {
-        for (const StartOrder &order : orders)
-            scheduler.startAnswered(order, CallResult::Ok, now);
+        for (const StartCommand &start : starts)
+            scheduler.onStartResult(start, CallResult::Ok, now);
     }
 
-    LookOrder nextLook(WorkerId worker)
+    /// Advances time until the next poll of `worker` and returns it. Answers other polls and
+    /// confirms writes.
+    PollRequest nextPoll(WorkerId worker)
     {
         for (int step = 0; step < 400; ++step) {
-            for (const LookOrder &order : tick<LookOrder>()) {
-                if (order.worker == worker)
-                    return order;
-                answerLook(order);
+            for (const PollRequest &request : tick<PollRequest>()) {
+                if (request.worker == worker)
+                    return request;
+                answerPoll(request);
             }
-            for (const RecordOrder &order : std::exchange(records, {}))
-                scheduler.recordAnswered(order.batch, true, now);
+            for (const ProgressWrite &pending : std::exchange(writes, {}))
+                scheduler.onProgressWritten(pending.batch, true, now);
             advance(Millis(10));
         }
-        FAIL("the worker was not looked at for 4 s");
+        FAIL("the worker was not polled for 4 s");
         return {};
     }
 
-    static JobSpec longJob(std::uint64_t id, int count, int mayMiss)
+    static JobSpec longRunningJob(std::uint64_t id, int count, int mayMiss)
     {
         StepSpec step = makeStep(count, Millis(100));
         step.isLongRunning = true;
@@ -89,16 +93,16 @@
         return makeJob(id, "pool", {step});
     }
 
-    static RunningTask atWork(const StartOrder &order)
+    static ActiveRun readyRun(const StartCommand &start)
     {
-        return {.task = order.task, .run = order.run, .percent = 100};
+        return {.task = start.task, .run = start.run, .progressPercent = 100};
     }
 
     const WorkerId w1{"w1"};
     const WorkerId w2{"w2"};
     Instant now{std::chrono::hours(1)};
-    std::vector<RecordOrder> records;
-    std::vector<LookOrder> looks;
+    std::vector<ProgressWrite> writes;
+    std::vector<PollRequest> polls;
     Scheduler scheduler{SchedulerSettings{}, 0, now - std::chrono::minutes(1)};
 };
 
