--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -34,14 +34,14 @@
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
 constexpr int kOutcomeUnknown = 504;
-constexpr Millis kComeBack{1000}; // when the table or the configuration is expected back
+constexpr Millis kRetryAfter{1000}; // when the table or the configuration is expected back
 /// One call to the table. A slow service answers after several hundred milliseconds.
-constexpr Millis kCallTime{700};
+constexpr Millis kTableTimeout{700};
 constexpr int kCancelTries = 3; // within a caller's usual 3 s
-constexpr Millis kSubmitTime{2200}; // to store a job, when the caller names no time limit
+constexpr Millis kMaxSubmitTime{2200}; // to store a job, when the caller names no time limit
 constexpr Millis kAnswerReserve{60}; // of a caller's time limit, for the way back
 constexpr Millis kRetryDelay{100};
-constexpr Millis kReportLimit{2500}; // the owner reports twice a second
+constexpr Millis kMaxReportAge{2500}; // the owner reports twice a second
 
 struct Stored
 {
@@ -55,8 +55,8 @@
     std::int64_t milliseconds = 0;
     const auto parsed = std::from_chars(limit.data(), limit.data() + limit.size(), milliseconds);
     if (limit.empty() || parsed.ec != std::errc())
-        return now + kSubmitTime;
-    return now + std::clamp(Millis(milliseconds) - kAnswerReserve, kAnswerReserve, kSubmitTime);
+        return now + kMaxSubmitTime;
+    return now + std::clamp(Millis(milliseconds) - kAnswerReserve, kAnswerReserve, kMaxSubmitTime);
 }
 
 Reply jsonReply(std::string body)
@@ -90,8 +90,8 @@
     , m_view(view)
     , m_metrics(metrics)
 {
-    for (int part = 0; part < kJobParts; ++part)
-        m_writers.push_back(std::make_unique<JobWriter>(io, table, partName(part)));
+    for (int part = 0; part < kJobPartitions; ++part)
+        m_writers.push_back(std::make_unique<JobWriter>(io, table, jobPartitionName(part)));
 }
 
 Reply CallerApi::refuse(int status, const char *reason, std::optional<Millis> comeBack)
@@ -117,7 +117,7 @@
 asio::awaitable<Reply> CallerApi::route(HttpRequest &request)
 {
     if (!m_view.config)
-        co_return refuse(kUnavailable, "no_configuration", kComeBack);
+        co_return refuse(kUnavailable, "no_configuration", kRetryAfter);
     const std::string path(request.target().substr(0, request.target().find('?')));
     const auto host = request[boost::beast::http::field::host];
     const std::string_view hostName(host.data(), host.size());
@@ -127,12 +127,12 @@
     Target target{*queue, m_view.config->version, path.substr(queue->prefix.size()),
                   latestAnswer(request, bootNow())};
     const auto method = request.method();
-    if (target.rest.empty()) {
+    if (target.jobId.empty()) {
         if (method == boost::beast::http::verb::get)
-            co_return waiting(target);
+            co_return waitingCount(target);
         co_return refuse(kNotAllowed, "method_not_allowed", std::nullopt);
     }
-    const auto id = parseJobId(target.rest);
+    const auto id = parseJobId(target.jobId);
     if (!id)
         co_return refuse(kBadRequest, "bad_job_id", std::nullopt);
     if (method == boost::beast::http::verb::post) {
@@ -140,39 +140,39 @@
         co_return co_await submit(std::move(target), *id, std::move(body));
     }
     if (method == boost::beast::http::verb::get)
-        co_return co_await state(*id);
+        co_return co_await jobState(*id);
     if (method == boost::beast::http::verb::delete_)
         co_return co_await cancel(*id);
     co_return refuse(kNotAllowed, "method_not_allowed", std::nullopt);
 }
 
-Reply CallerApi::waiting(const Target &target)
+Reply CallerApi::waitingCount(const Target &target)
 {
-    if (bootNow() - m_view.report.heard > kReportLimit)
-        return refuse(kUnavailable, "count_unknown", kComeBack);
-    const auto found = m_view.report.waiting.find(target.queue.name);
+    if (bootNow() - m_view.report.receivedAt > kMaxReportAge)
+        return refuse(kUnavailable, "count_unknown", kRetryAfter);
+    const auto found = m_view.report.waitingJobs.find(target.queue.name);
     return jsonReply(
-        platform::encodeWaiting(found == m_view.report.waiting.end() ? 0 : found->second));
+        platform::encodeWaiting(found == m_view.report.waitingJobs.end() ? 0 : found->second));
 }
 
 asio::awaitable<TransactionResult> CallerApi::transact(Transaction transaction)
 {
     auto shot = std::make_shared<OneShot<TransactionResult>>(m_io.get_executor());
-    m_table.transact(transaction, kCallTime,
+    m_table.transact(transaction, kTableTimeout,
                      [shot](TransactionResult result) { shot->set(std::move(result)); });
     std::optional<TransactionResult> result = co_await shot->wait(std::chrono::steady_clock::now()
-                                                                  + 2 * kCallTime);
+                                                                  + 2 * kTableTimeout);
     co_return result ? std::move(*result) : TransactionResult{};
 }
 
 asio::awaitable<ReadResult> CallerApi::readJob(JobId id)
 {
     auto shot = std::make_shared<OneShot<ReadResult>>(m_io.get_executor());
-    m_table.read(kProgressTable, partName(partNumber(id)), jobKey(id, JobRow::Progress),
-                 jobKey(id, JobRow::Cancel) + " ", kCallTime,
+    m_table.read(kProgressTable, jobPartitionName(jobPartition(id)), jobKey(id, JobRow::Progress),
+                 jobKey(id, JobRow::Cancel) + " ", kTableTimeout,
                  [shot](ReadResult result) { shot->set(std::move(result)); });
     std::optional<ReadResult> result = co_await shot->wait(std::chrono::steady_clock::now()
-                                                           + 2 * kCallTime);
+                                                           + 2 * kTableTimeout);
     co_return result ? std::move(*result) : ReadResult{};
 }
 
@@ -190,20 +190,20 @@
     }
     if (!m_view.isTableReachable(bootNow())) {
         logInfo("job_refused", {{"job", textOf(id)}, {"reason", "table_unreachable"}});
-        co_return refuse(kUnavailable, "table_unreachable", kComeBack);
+        co_return refuse(kUnavailable, "table_unreachable", kRetryAfter);
     }
     job.acceptedMs = m_view.tableTime(bootNow());
     // Where nothing waits the job starts at once; a job that has to wait is released in its turn.
-    const auto waiting = m_view.report.waiting.find(target.queue.name);
-    job.isReleased = waiting == m_view.report.waiting.end() || waiting->second == 0;
+    const auto waiting = m_view.report.waitingJobs.find(target.queue.name);
+    job.isReleased = waiting == m_view.report.waitingJobs.end() || waiting->second == 0;
     auto shot = std::make_shared<OneShot<Stored>>(m_io.get_executor());
-    m_writers[static_cast<std::size_t>(partNumber(id))]->store(
-        job, target.latest, [shot](StoreOutcome outcome, std::uint64_t version) {
+    m_writers[static_cast<std::size_t>(jobPartition(id))]->store(
+        job, target.deadline, [shot](StoreOutcome outcome, std::uint64_t version) {
             shot->set({outcome, version});
         });
     constexpr Millis kSlack{500}; // the writer answers in time by itself
     const std::optional<Stored> stored = co_await shot->wait(
-        std::chrono::steady_clock::now() + (target.latest - bootNow()) + kSlack);
+        std::chrono::steady_clock::now() + (target.deadline - bootNow()) + kSlack);
     const StoreOutcome outcome = stored ? stored->outcome : StoreOutcome::Unknown;
     if (outcome == StoreOutcome::Stored || outcome == StoreOutcome::AlreadyStored) {
         const bool isNew = outcome == StoreOutcome::Stored;
@@ -223,16 +223,16 @@
     // Only a job that can't have been stored may be refused.
     if (mayBeStored)
         co_return refuse(kOutcomeUnknown, "outcome_unknown", std::nullopt);
-    const Millis expected = m_writers[static_cast<std::size_t>(partNumber(id))]->expected(
+    const Millis expected = m_writers[static_cast<std::size_t>(jobPartition(id))]->expectedDelay(
         bootNow());
-    co_return refuse(kUnavailable, "table_refused", std::max(kComeBack, expected));
+    co_return refuse(kUnavailable, "table_refused", std::max(kRetryAfter, expected));
 }
 
-asio::awaitable<Reply> CallerApi::state(JobId id)
+asio::awaitable<Reply> CallerApi::jobState(JobId id)
 {
     const ReadResult result = co_await readJob(id);
     if (!result.isAnswered)
-        co_return refuse(kUnavailable, "table_unreachable", kComeBack);
+        co_return refuse(kUnavailable, "table_unreachable", kRetryAfter);
     std::optional<JobProgress> progress;
     bool isCancelled = false;
     for (const platform::TableRow &row : result.rows) {
@@ -245,7 +245,7 @@
         co_return refuse(kGone, "no_such_job", std::nullopt);
     if (!progress) {
         logWarning("job_progress_unreadable", {{"job", textOf(id)}});
-        co_return refuse(kUnavailable, "progress_unreadable", kComeBack);
+        co_return refuse(kUnavailable, "progress_unreadable", kRetryAfter);
     }
     const bool isShownCancelled = isCancelled && !isFinal(progress->state);
     co_return jsonReply(
@@ -256,10 +256,10 @@
 {
     const ReadResult result = co_await readJob(id);
     if (!result.isAnswered)
-        co_return refuse(kUnavailable, "table_unreachable", kComeBack);
+        co_return refuse(kUnavailable, "table_unreachable", kRetryAfter);
     if (result.rows.empty())
         co_return refuse(kGone, "no_such_job", std::nullopt);
-    Transaction transaction{.part = partName(partNumber(id))};
+    Transaction transaction{.part = jobPartitionName(jobPartition(id))};
     for (const char *table : {kJobTable, kProgressTable})
         transaction.writes.push_back({table, jobKey(id, JobRow::Cancel), "1"});
     for (int attempt = 1; attempt <= kCancelTries; ++attempt) {
@@ -274,7 +274,7 @@
         boost::system::error_code ignored;
         co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    co_return refuse(kUnavailable, "table_unreachable", kComeBack);
+    co_return refuse(kUnavailable, "table_unreachable", kRetryAfter);
 }
 
 } // namespace oleanderhall
--- a/src/node/callerapi.h
+++ b/src/node/callerapi.h
@@ -31,14 +31,14 @@
     {
         QueueRule queue;
         ConfigVersion config;
-        std::string rest; ///< Of the path, behind the queue's prefix.
-        Instant latest; ///< When the caller stops to wait.
+        std::string jobId; ///< Of the path, behind the queue's prefix.
+        Instant deadline; ///< When the caller stops to wait.
     };
 
     boost::asio::awaitable<Reply> submit(Target target, JobId id, std::string body);
-    boost::asio::awaitable<Reply> state(JobId id);
+    boost::asio::awaitable<Reply> jobState(JobId id);
     boost::asio::awaitable<Reply> cancel(JobId id);
-    Reply waiting(const Target &target);
+    Reply waitingCount(const Target &target);
     boost::asio::awaitable<platform::TransactionResult> transact(platform::Transaction transaction);
     boost::asio::awaitable<platform::ReadResult> readJob(JobId id);
     Reply refuse(int status, const char *reason, std::optional<Millis> comeBack);
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -3,10 +3,10 @@
 #include "fleetnode.h"
 
 #include "callerapi.h"
+#include "fleetowner.h"
 #include "fleetview.h"
-#include "owner.h"
 #include "storednames.h"
-#include "tablefollower.h"
+#include "tablewatcher.h"
 #include "viewupdate.h"
 
 #include "../../platform/tablenames.h"
@@ -32,15 +32,16 @@
 
 namespace {
 
-constexpr Millis kControlWait{1000};
-constexpr Millis kConfigWait{1200}; // a silent connection is found in time for the next version
-constexpr Millis kControlTime{1500}; // for a renewal or hand-over; the lease is 2 s
+constexpr Millis kControlLongPoll{1000};
+constexpr Millis kOperatorLongPoll{
+    1200}; // a silent connection is found in time for the next version
+constexpr Millis kControlTimeout{1500}; // for a renewal or hand-over; the lease is 2 s
 /// For a take-over. One that is given up early stays in a slow table's queue, before the next try.
-constexpr Millis kTakeOverTime{2500};
-constexpr Millis kDriveEvery{50};
+constexpr Millis kTakeOverTimeout{2500};
+constexpr Millis kOwnershipCheckInterval{50};
 constexpr int kMaxJitterMs = 300;
-constexpr Millis kStopNotice{2300}; // the balancer asks once a second and needs two misses
-constexpr Millis kStopReserve{800}; // before the platform kills the process
+constexpr Millis kUnreadyNotice{2300}; // the balancer asks once a second and needs two misses
+constexpr Millis kShutdownReserve{800}; // before the platform kills the process
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 constexpr int kNotFound = 404;
@@ -70,11 +71,11 @@
     explicit FleetNode(const NodeSettings &settings)
         : m_settings(settings)
         , m_signals(m_io, SIGTERM, SIGINT, SIGHUP)
-        , m_table(m_io, settings.table, m_metrics)
+        , m_table(m_io, settings.tableAddress, m_metrics)
         , m_api(m_io, m_table, m_view, m_metrics)
         , m_ownership(settings.id.name(), ownershipSettings(), bootNow())
-        , m_driveTimer(m_io)
-        , m_stopTimer(m_io)
+        , m_ownershipTimer(m_io)
+        , m_shutdownTimer(m_io)
     {}
 
     int run()
@@ -83,14 +84,14 @@
         serveCallers();
         serveHealth();
         serveMetrics();
-        follow();
-        drive();
+        watchTables();
+        checkOwnership();
         logInfo("started",
                 {{"zone", m_settings.zone.name()},
-                 {"callers", m_settings.callers.text()},
-                 {"table", m_settings.table}});
+                 {"callers", m_settings.callerAddress.text()},
+                 {"table", m_settings.tableAddress}});
         m_io.run();
-        logInfo("stopped", {{"cut_off", std::to_string(m_callers->busy())}});
+        logInfo("stopped", {{"cut_off", std::to_string(m_callerServer->busy())}});
         return 0;
     }
 
@@ -106,33 +107,33 @@
 
     bool isReady() const
     {
-        return m_view.config && m_view.isTableReachable(bootNow()) && !m_isStopping;
+        return m_view.config && m_view.isTableReachable(bootNow()) && !m_isShuttingDown;
     }
 
     void serveCallers()
     {
-        m_callers = std::make_shared<CallerServer>(
+        m_callerServer = std::make_shared<CallerServer>(
             m_io, callerLimits(), [this](HttpRequest &request) { return m_api.answer(request); },
             m_metrics);
-        m_callers->start(m_settings.callers.address, m_settings.callers.port);
+        m_callerServer->start(m_settings.callerAddress.address, m_settings.callerAddress.port);
     }
 
     void serveHealth()
     {
-        m_health = std::make_shared<CallerServer>(
+        m_healthServer = std::make_shared<CallerServer>(
             m_io, callerLimits(), [this](HttpRequest &request) { return answerHealth(request); },
             m_metrics);
-        m_health->start(m_settings.health.address, m_settings.health.port);
+        m_healthServer->start(m_settings.healthAddress.address, m_settings.healthAddress.port);
     }
 
     void serveMetrics()
     {
-        if (m_settings.metrics.port == 0)
+        if (m_settings.metricsAddress.port == 0)
             return;
         m_metricsServer = std::make_shared<CallerServer>(
             m_io, callerLimits(), [this](HttpRequest &request) { return answerMetrics(request); },
             m_metrics);
-        m_metricsServer->start(m_settings.metrics.address, m_settings.metrics.port);
+        m_metricsServer->start(m_settings.metricsAddress.address, m_settings.metricsAddress.port);
     }
 
     asio::awaitable<Reply> answerHealth(HttpRequest &)
@@ -146,50 +147,52 @@
             co_return Reply{.status = kNotFound};
         m_metrics.gauge("log_lines_dropped", static_cast<double>(droppedLogLines()));
         m_metrics.gauge("is_owner", m_ownership.isOwner() ? 1 : 0);
-        m_metrics.gauge("caller_connections", m_callers->connections());
+        m_metrics.gauge("caller_connections", m_callerServer->connections());
         co_return Reply{.status = kOk,
                         .headers = {{"Content-Type", "text/plain; version=0.0.4"}},
                         .body = m_metrics.text()};
     }
 
-    void follow()
+    void watchTables()
     {
-        m_control = std::make_shared<TableFollower>(
+        m_controlWatcher = std::make_shared<TableWatcher>(
             m_io, m_table,
-            TableFollower::Source{
-                .table = kControlTable, .parts = {kOwnPart}, .wait = kControlWait},
-            [this](const TableFollower::Update &update) { takeControl(update); });
-        m_control->start();
-        m_config = std::make_shared<TableFollower>(
+            TableWatcher::Source{.table = kControlTable,
+                                 .partitions = {kControlPartition},
+                                 .longPoll = kControlLongPoll},
+            [this](const TableWatcher::Update &update) { applyControlUpdate(update); });
+        m_controlWatcher->start();
+        m_operatorWatcher = std::make_shared<TableWatcher>(
             m_io, m_table,
-            TableFollower::Source{
-                .table = platform::kOperatorTable, .parts = {""}, .wait = kConfigWait},
-            [this](const TableFollower::Update &update) { takeOperatorRows(update); });
-        m_config->start();
+            TableWatcher::Source{.table = platform::kOperatorTable,
+                                 .partitions = {""},
+                                 .longPoll = kOperatorLongPoll},
+            [this](const TableWatcher::Update &update) { applyOperatorUpdate(update); });
+        m_operatorWatcher->start();
     }
 
-    void noteContact(const TableFollower::Update &update)
+    void recordContact(const TableWatcher::Update &update)
     {
-        if (update.sent <= m_view.lastContact)
+        if (update.sentAt <= m_view.lastContact)
             return;
-        m_view.lastContact = update.sent;
+        m_view.lastContact = update.sentAt;
         m_view.tableClockMs = update.clockMs;
     }
 
-    void takeControl(const TableFollower::Update &update)
+    void applyControlUpdate(const TableWatcher::Update &update)
     {
-        noteContact(update);
+        recordContact(update);
         TermRecord term = m_ownership.term();
         std::uint64_t beat = m_ownership.beatVersion();
         for (const platform::TableRow &row : update.rows) {
             if (row.key == kTermKey && row.version >= term.version)
                 term = decodeTerm(row);
-            if (row.key == kBeatKey && row.version >= beat) {
+            if (row.key == kHeartbeatKey && row.version >= beat) {
                 beat = row.version;
-                takeReport(m_view, row.value);
+                applyOwnerReport(m_view, row.value);
             }
-            if (row.key.starts_with(kWavePrefix))
-                takeMaintained(m_view, row);
+            if (row.key.starts_with(kMaintainedHostsPrefix))
+                applyMaintainedHosts(m_view, row);
         }
         const bool wasOwner = m_ownership.isOwner();
         m_ownership.seen(term, beat, bootNow());
@@ -197,19 +200,19 @@
             endTerm();
     }
 
-    void takeOperatorRows(const TableFollower::Update &update)
+    void applyOperatorUpdate(const TableWatcher::Update &update)
     {
-        noteContact(update);
+        recordContact(update);
         for (const platform::TableRow &row : update.rows)
-            takeOperatorRow(m_view, row);
+            applyOperatorRow(m_view, row);
         if (m_owner && !update.rows.empty())
             m_owner->viewChanged();
     }
 
-    void drive()
+    void checkOwnership()
     {
         const Instant now = bootNow();
-        if (m_owner && (m_owner->isDeposed() || !m_ownership.isOwner())) {
+        if (m_owner && (m_owner->isSuperseded() || !m_ownership.isOwner())) {
             m_ownership.renewAnswered(false, true, 0, now, now);
             endTerm();
         }
@@ -223,34 +226,35 @@
         case Ownership::Step::None:
             break;
         }
-        m_driveTimer.expires_after(kDriveEvery);
-        m_driveTimer.async_wait([this](const boost::system::error_code &failed) {
+        m_ownershipTimer.expires_after(kOwnershipCheckInterval);
+        m_ownershipTimer.async_wait([this](const boost::system::error_code &failed) {
             if (!failed)
-                drive();
+                checkOwnership();
         });
     }
 
     void takeOver()
     {
         const TermRecord term = m_ownership.term();
-        platform::Transaction transaction{.part = kOwnPart};
+        platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, term.version});
-        transaction.expected.push_back({kControlTable, kBeatKey, m_ownership.beatVersion()});
+        transaction.expected.push_back({kControlTable, kHeartbeatKey, m_ownership.beatVersion()});
         transaction.writes.push_back({kControlTable, kTermKey,
                                       encodeTerm({.owner = m_settings.id.name(),
                                                   .generation = term.generation + 1,
                                                   .processorShare = m_settings.processorShare})});
-        transaction.writes.push_back({kControlTable, kBeatKey, "{}"});
-        m_table.transact(transaction, kTakeOverTime, [this](const platform::TransactionResult &r) {
-            const bool isDone = r.outcome == platform::TransactionResult::Outcome::Done;
-            m_ownership.takeOverAnswered(isDone, r.version, r.sent, bootNow());
-            if (!isDone || m_isStopping)
-                return;
-            m_metrics.count("ownership_taken_total");
-            m_owner = std::make_shared<Owner>(m_io, m_settings, m_table, m_ownership, m_view,
-                                              m_metrics);
-            m_owner->start();
-        });
+        transaction.writes.push_back({kControlTable, kHeartbeatKey, "{}"});
+        m_table.transact(
+            transaction, kTakeOverTimeout, [this](const platform::TransactionResult &r) {
+                const bool isDone = r.outcome == platform::TransactionResult::Outcome::Done;
+                m_ownership.takeOverAnswered(isDone, r.version, r.sent, bootNow());
+                if (!isDone || m_isShuttingDown)
+                    return;
+                m_metrics.count("ownership_taken_total");
+                m_owner = std::make_shared<FleetOwner>(m_io, m_settings, m_table, m_ownership,
+                                                       m_view, m_metrics);
+                m_owner->start();
+            });
     }
 
     std::string encodeReport() const
@@ -258,7 +262,7 @@
         web::json::value record = web::json::value::object();
         if (m_owner && m_owner->isLoaded()) {
             web::json::value waiting = web::json::value::object();
-            for (const QueueLoad &load : m_owner->loads())
+            for (const QueueLoad &load : m_owner->loadByQueue())
                 waiting[load.queue] = web::json::value(load.waiting);
             record["waiting"] = waiting;
         }
@@ -267,16 +271,18 @@
 
     void renew()
     {
-        platform::Transaction transaction{.part = kOwnPart};
+        platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
-        transaction.writes.push_back({kControlTable, kBeatKey, encodeReport()});
-        m_table.transact(transaction, kControlTime, [this](const platform::TransactionResult &r) {
-            using Outcome = platform::TransactionResult::Outcome;
-            m_ownership.renewAnswered(r.outcome == Outcome::Done, r.outcome == Outcome::Conflict,
-                                      r.version, r.sent, bootNow());
-            if (!m_ownership.isOwner())
-                endTerm();
-        });
+        transaction.writes.push_back({kControlTable, kHeartbeatKey, encodeReport()});
+        m_table.transact(transaction, kControlTimeout,
+                         [this](const platform::TransactionResult &r) {
+                             using Outcome = platform::TransactionResult::Outcome;
+                             m_ownership.renewAnswered(r.outcome == Outcome::Done,
+                                                       r.outcome == Outcome::Conflict, r.version,
+                                                       r.sent, bootNow());
+                             if (!m_ownership.isOwner())
+                                 endTerm();
+                         });
     }
 
     void endTerm()
@@ -298,22 +304,23 @@
                 waitForSignal();
                 return;
             }
-            startStop();
+            beginShutdown();
         });
     }
 
     /// Not ready first, hands ownership over, answers what still comes, then ends.
-    void startStop()
+    void beginShutdown()
     {
         logInfo("stopping", {{"owner", m_ownership.isOwner() ? "true" : "false"}});
-        m_isStopping = true;
+        m_isShuttingDown = true;
         handOver();
-        m_stopTimer.expires_after(kStopNotice);
-        m_stopTimer.async_wait([this](const boost::system::error_code &) {
-            m_callers->drain();
-            m_callers->stop();
-            m_stopLatest = bootNow() + m_settings.stopLimit - kStopNotice - kStopReserve;
-            finishStop();
+        m_shutdownTimer.expires_after(kUnreadyNotice);
+        m_shutdownTimer.async_wait([this](const boost::system::error_code &) {
+            m_callerServer->drain();
+            m_callerServer->stop();
+            m_shutdownDeadline = bootNow() + m_settings.shutdownTimeout - kUnreadyNotice
+                - kShutdownReserve;
+            finishShutdown();
         });
     }
 
@@ -326,27 +333,28 @@
             return;
         endTerm();
         m_ownership.renewAnswered(false, true, 0, bootNow(), bootNow());
-        platform::Transaction transaction{.part = kOwnPart};
+        platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, term.version});
         transaction.writes.push_back(
             {kControlTable, kTermKey,
              encodeTerm({.generation = term.generation, .processorShare = term.processorShare})});
-        m_table.transact(transaction, kControlTime, [](const platform::TransactionResult &result) {
-            logInfo("ownership_handed_over",
-                    {{"done",
-                      result.outcome == platform::TransactionResult::Outcome::Done ? "true"
-                                                                                   : "false"}});
-        });
+        m_table.transact(
+            transaction, kControlTimeout, [](const platform::TransactionResult &result) {
+                logInfo("ownership_handed_over",
+                        {{"done",
+                          result.outcome == platform::TransactionResult::Outcome::Done ? "true"
+                                                                                       : "false"}});
+            });
     }
 
-    void finishStop()
+    void finishShutdown()
     {
-        if (m_callers->busy() == 0 || bootNow() >= m_stopLatest) {
+        if (m_callerServer->busy() == 0 || bootNow() >= m_shutdownDeadline) {
             m_io.stop();
             return;
         }
-        m_stopTimer.expires_after(Millis(20));
-        m_stopTimer.async_wait([this](const boost::system::error_code &) { finishStop(); });
+        m_shutdownTimer.expires_after(Millis(20));
+        m_shutdownTimer.async_wait([this](const boost::system::error_code &) { finishShutdown(); });
     }
 
     const NodeSettings &m_settings;
@@ -357,16 +365,16 @@
     FleetView m_view;
     CallerApi m_api;
     Ownership m_ownership;
-    std::shared_ptr<Owner> m_owner;
-    std::shared_ptr<CallerServer> m_callers;
-    std::shared_ptr<CallerServer> m_health;
+    std::shared_ptr<FleetOwner> m_owner;
+    std::shared_ptr<CallerServer> m_callerServer;
+    std::shared_ptr<CallerServer> m_healthServer;
     std::shared_ptr<CallerServer> m_metricsServer;
-    std::shared_ptr<TableFollower> m_control;
-    std::shared_ptr<TableFollower> m_config;
-    asio::steady_timer m_driveTimer;
-    asio::steady_timer m_stopTimer;
-    Instant m_stopLatest;
-    bool m_isStopping = false;
+    std::shared_ptr<TableWatcher> m_controlWatcher;
+    std::shared_ptr<TableWatcher> m_operatorWatcher;
+    asio::steady_timer m_ownershipTimer;
+    asio::steady_timer m_shutdownTimer;
+    Instant m_shutdownDeadline;
+    bool m_isShuttingDown = false;
 };
 
 } // namespace
--- a/src/node/owner.cpp
+++ b/src/node/fleetowner.cpp
@@ -1,4 +1,4 @@
-#include "owner.h"
+#include "fleetowner.h"
 
 #include "storednames.h"
 
@@ -17,22 +17,22 @@
 
 namespace {
 
-constexpr Millis kRecordTime{2500}; // a slow table takes several hundred milliseconds for each
+constexpr Millis kRecordTimeout{2500}; // a slow table takes several hundred milliseconds for each
 constexpr Millis kStepDelay{2}; // events that arrive together are decided together
 
 SchedulerSettings schedulerSettings(const NodeSettings &settings)
 {
     SchedulerSettings result;
-    result.stopTime = settings.stopTime;
+    result.stopTime = settings.taskStopTimeout;
     result.statusLifetime = settings.statusLifetime;
     return result;
 }
 
 } // namespace
 
-Owner::Owner(boost::asio::io_context &io, const NodeSettings &settings,
-             platform::TableClient &table, const Ownership &ownership, const FleetView &view,
-             Metrics &metrics)
+FleetOwner::FleetOwner(boost::asio::io_context &io, const NodeSettings &settings,
+                       platform::TableClient &table, const Ownership &ownership,
+                       const FleetView &view, Metrics &metrics)
     : m_io(io)
     , m_settings(settings)
     , m_table(table)
@@ -41,73 +41,74 @@
     , m_metrics(metrics)
     , m_term(ownership.term())
     , m_scheduler(schedulerSettings(settings), m_term.generation - 1, bootNow())
-    , m_workers(io, metrics, m_term.version)
-    , m_timer(io)
-    , m_listTimer(io)
+    , m_workerClient(io, metrics, m_term.version)
+    , m_stepTimer(io)
+    , m_workerListTimer(io)
 {
-    if (!settings.advice.empty())
-        m_advice = std::make_unique<platform::AdviceClient>(io, settings.advice, metrics);
+    if (!settings.adviceAddress.empty())
+        m_adviceClient = std::make_unique<platform::AdviceClient>(io, settings.adviceAddress,
+                                                                  metrics);
 }
 
-Owner::~Owner() = default;
+FleetOwner::~FleetOwner() = default;
 
-void Owner::start()
+void FleetOwner::start()
 {
     logInfo("ownership_taken",
             {{"token", std::to_string(m_term.version)},
              {"generation", std::to_string(m_term.generation)}});
     viewChanged();
-    m_fences.resize(kJobParts);
-    m_partsToRead = kJobParts;
-    for (int part = 0; part < kJobParts; ++part)
-        fence(part);
-    readWorkers();
-    if (!m_settings.hosts.empty()) {
-        m_hosts = std::make_shared<HostKeeper>(m_io, m_settings, m_table, m_ownership, m_view,
-                                               m_scheduler, m_metrics);
-        m_hosts->start();
+    m_tokenRowVersions.resize(kJobPartitions);
+    m_partitionsToRead = kJobPartitions;
+    for (int part = 0; part < kJobPartitions; ++part)
+        fencePartition(part);
+    readWorkerList();
+    if (!m_settings.hostServiceAddress.empty()) {
+        m_hostController = std::make_shared<HostController>(m_io, m_settings, m_table, m_ownership,
+                                                            m_view, m_scheduler, m_metrics);
+        m_hostController->start();
     }
 }
 
-void Owner::stop()
+void FleetOwner::stop()
 {
     if (m_isStopped)
         return;
     m_isStopped = true;
     logInfo("ownership_ended", {{"token", std::to_string(m_term.version)}});
-    if (m_jobs)
-        m_jobs->stop();
-    if (m_hosts)
-        m_hosts->stop();
-    m_timer.cancel();
-    m_listTimer.cancel();
+    if (m_jobWatcher)
+        m_jobWatcher->stop();
+    if (m_hostController)
+        m_hostController->stop();
+    m_stepTimer.cancel();
+    m_workerListTimer.cancel();
 }
 
-void Owner::viewChanged()
+void FleetOwner::viewChanged()
 {
     if (m_view.config)
         m_scheduler.setQueues(m_view.config->version, m_view.config->queues);
-    wake();
+    scheduleStep();
 }
 
-std::vector<QueueLoad> Owner::loads() const
+std::vector<QueueLoad> FleetOwner::loadByQueue() const
 {
     return m_isLoaded ? m_scheduler.queueLoads() : std::vector<QueueLoad>();
 }
 
-std::string Owner::addressOf(WorkerId worker) const
+std::string FleetOwner::addressOf(WorkerId worker) const
 {
     const auto found = m_scheduler.workers().find(worker);
     return found == m_scheduler.workers().end() ? std::string() : found->second.report.address;
 }
 
-void Owner::wake()
+void FleetOwner::scheduleStep()
 {
-    if (m_isWakePosted || m_isStopped)
+    if (m_isStepScheduled || m_isStopped)
         return;
-    m_isWakePosted = true;
-    m_timer.expires_after(kStepDelay);
-    m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &failed) {
+    m_isStepScheduled = true;
+    m_stepTimer.expires_after(kStepDelay);
+    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &failed) {
         const auto self = weak.lock();
         if (failed || !self || self->m_isStopped)
             return;
@@ -115,30 +116,30 @@
     });
 }
 
-void Owner::step()
+void FleetOwner::step()
 {
-    m_isWakePosted = false;
+    m_isStepScheduled = false;
     const Instant now = bootNow();
     if (m_isLoaded && m_areWorkersListed && m_ownership.mayExtend(now)) {
-        if (m_hosts && m_ownership.mayAct(now))
-            m_hosts->step(now);
+        if (m_hostController && m_ownership.mayAct(now))
+            m_hostController->step(now);
         std::vector<SchedulerAction> actions = m_scheduler.tick(now, wallMs(),
                                                                 m_ownership.mayAct(now));
-        carryOut(actions);
+        dispatch(actions);
         logDecisions();
     }
-    if (m_isWakePosted)
+    if (m_isStepScheduled)
         return;
     const Instant next = m_scheduler.nextTick(now);
-    m_timer.expires_after(std::max<Instant::duration>(next - now, kStepDelay));
-    m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &failed) {
+    m_stepTimer.expires_after(std::max<Instant::duration>(next - now, kStepDelay));
+    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &failed) {
         const auto self = weak.lock();
         if (!failed && self && !self->m_isStopped)
             self->step();
     });
 }
 
-void Owner::logDecisions()
+void FleetOwner::logDecisions()
 {
     for (const Decision &decision : m_scheduler.takeDecisions()) {
         m_metrics.count(std::string("decisions_") + decision.event + "_total");
@@ -148,82 +149,82 @@
     }
 }
 
-void Owner::carryOut(std::vector<SchedulerAction> &actions)
+void FleetOwner::dispatch(std::vector<SchedulerAction> &actions)
 {
     for (const SchedulerAction &action : actions)
         std::visit([this](const auto &order) { send(order); }, action);
 }
 
-void Owner::send(const StartOrder &order)
+void FleetOwner::send(const StartOrder &order)
 {
-    m_workers.start(addressOf(order.worker), order,
-                    [weak = weak_from_this(), order](CallResult result) {
-                        const auto self = weak.lock();
-                        if (!self || self->m_isStopped)
-                            return;
-                        self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-                        self->m_scheduler.startAnswered(order, result, bootNow());
-                        self->wake();
-                    });
+    m_workerClient.start(
+        addressOf(order.worker), order, [weak = weak_from_this(), order](CallResult result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
+            self->m_scheduler.startAnswered(order, result, bootNow());
+            self->scheduleStep();
+        });
 }
 
-void Owner::send(const StopOrder &order)
+void FleetOwner::send(const StopOrder &order)
 {
-    m_workers.stop(addressOf(order.worker), order,
-                   [weak = weak_from_this(), order](CallResult result) {
-                       const auto self = weak.lock();
-                       if (!self || self->m_isStopped)
-                           return;
-                       self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-                       self->m_scheduler.stopAnswered(order, result, bootNow());
-                       self->wake();
-                   });
+    m_workerClient.stop(
+        addressOf(order.worker), order, [weak = weak_from_this(), order](CallResult result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
+            self->m_scheduler.stopAnswered(order, result, bootNow());
+            self->scheduleStep();
+        });
 }
 
-void Owner::send(const PaceOrder &order)
+void FleetOwner::send(const PaceOrder &order)
 {
-    m_workers.pace(addressOf(order.worker), order,
-                   [weak = weak_from_this(), order](CallResult result) {
-                       const auto self = weak.lock();
-                       if (!self || self->m_isStopped)
-                           return;
-                       self->m_scheduler.paceAnswered(order, result, bootNow());
-                       self->wake();
-                   });
+    m_workerClient.pace(addressOf(order.worker), order,
+                        [weak = weak_from_this(), order](CallResult result) {
+                            const auto self = weak.lock();
+                            if (!self || self->m_isStopped)
+                                return;
+                            self->m_scheduler.paceAnswered(order, result, bootNow());
+                            self->scheduleStep();
+                        });
 }
 
-void Owner::send(const LookOrder &order)
+void FleetOwner::send(const LookOrder &order)
 {
-    m_workers.look(
+    m_workerClient.look(
         addressOf(order.worker), order,
         [weak = weak_from_this(), order](CallResult result, const WorkerLook &look, Instant sent) {
             const auto self = weak.lock();
             if (!self || self->m_isStopped)
                 return;
-            self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
+            self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
             self->m_scheduler.lookAnswered(order, result, look, sent, bootNow());
-            self->wake();
+            self->scheduleStep();
         });
 }
 
-void Owner::send(const AdviceOrder &order)
+void FleetOwner::send(const AdviceOrder &order)
 {
-    if (!m_advice)
+    if (!m_adviceClient)
         return;
-    m_advice->ask(order,
-                  [weak = weak_from_this(),
-                   order](const std::optional<platform::AdviceClient::Tickets> &tickets) {
-                      const auto self = weak.lock();
-                      if (!self || self->m_isStopped)
-                          return;
-                      self->m_scheduler.adviceAnswered(
-                          order, tickets.has_value(),
-                          tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
-                      self->wake();
-                  });
+    m_adviceClient->ask(order,
+                        [weak = weak_from_this(),
+                         order](const std::optional<platform::AdviceClient::Tickets> &tickets) {
+                            const auto self = weak.lock();
+                            if (!self || self->m_isStopped)
+                                return;
+                            self->m_scheduler.adviceAnswered(
+                                order, tickets.has_value(),
+                                tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
+                            self->scheduleStep();
+                        });
 }
 
-void Owner::send(const RecordOrder &order)
+void FleetOwner::send(const RecordOrder &order)
 {
     struct Batch
     {
@@ -232,12 +233,13 @@
     };
     std::map<int, Batch> batches;
     const auto batchOf = [&](JobId id) -> Batch & {
-        const int part = partNumber(id);
+        const int part = jobPartition(id);
         Batch &batch = batches[part];
         if (batch.transaction.part.empty()) {
-            batch.transaction.part = partName(part);
+            batch.transaction.part = jobPartitionName(part);
             batch.transaction.expected.push_back(
-                {kFenceTable, kFenceKey, m_fences[static_cast<std::size_t>(part)]});
+                {kFencingTokenTable, kFencingTokenKey,
+                 m_tokenRowVersions[static_cast<std::size_t>(part)]});
         }
         return batch;
     };
@@ -258,26 +260,26 @@
         drops.push_back({kProgressTable, jobKey(id, JobRow::Progress), {}});
     }
     m_recordsInFlight = static_cast<int>(batches.size());
-    m_areRecordsDone = true;
+    m_areRecordsStored = true;
     for (auto &[part, batch] : batches) {
-        m_table.transact(batch.transaction, kRecordTime,
+        m_table.transact(batch.transaction, kRecordTimeout,
                          [weak = weak_from_this(), part = part, updates = std::move(batch.updates),
                           number = order.batch](const platform::TransactionResult &result) {
                              const auto self = weak.lock();
                              if (!self || self->m_isStopped)
                                  return;
-                             self->recorded(part, updates, result);
+                             self->onRecordAnswered(part, updates, result);
                              if (--self->m_recordsInFlight > 0)
                                  return;
-                             self->m_scheduler.recordAnswered(number, self->m_areRecordsDone,
+                             self->m_scheduler.recordAnswered(number, self->m_areRecordsStored,
                                                               bootNow());
-                             self->wake();
+                             self->scheduleStep();
                          });
     }
 }
 
-void Owner::recorded(int part, const std::vector<JobProgress> &updates,
-                     const platform::TransactionResult &result)
+void FleetOwner::onRecordAnswered(int part, const std::vector<JobProgress> &updates,
+                                  const platform::TransactionResult &result)
 {
     using Outcome = platform::TransactionResult::Outcome;
     if (result.outcome == Outcome::Done) {
@@ -285,16 +287,16 @@
             m_progressVersions[update.id] = result.version;
         return;
     }
-    m_areRecordsDone = false;
+    m_areRecordsStored = false;
     if (result.outcome == Outcome::Conflict) {
         bool isOurs = false;
         for (const platform::TableRow &row : result.rows) {
-            if (row.table == kFenceTable)
-                isOurs = row.version == m_fences[static_cast<std::size_t>(part)];
+            if (row.table == kFencingTokenTable)
+                isOurs = row.version == m_tokenRowVersions[static_cast<std::size_t>(part)];
             if (const auto key = parseJobKey(row.key); key && key->row == JobRow::Progress)
                 m_progressVersions[key->id] = row.version;
         }
-        m_isDeposed = m_isDeposed || !isOurs;
+        m_isSuperseded = m_isSuperseded || !isOurs;
     }
     m_metrics.count("record_retries_total");
     logWarning("record_not_confirmed",
--- a/src/node/owner.h
+++ b/src/node/fleetowner.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "fleetview.h"
-#include "hostkeeper.h"
+#include "hostcontroller.h"
 #include "nodesettings.h"
-#include "tablefollower.h"
+#include "tablewatcher.h"
 
 #include "../../platform/adviceclient.h"
 #include "../../platform/tableclient.h"
@@ -25,42 +25,43 @@
 
 /// Internal: one term of ownership: loads the jobs, feeds the Scheduler with what happens and
 /// carries out its orders. It is made at a take-over and stopped when ownership ends.
-class Owner : public std::enable_shared_from_this<Owner>
+class FleetOwner : public std::enable_shared_from_this<FleetOwner>
 {
 public:
-    Owner(boost::asio::io_context &io, const NodeSettings &settings, platform::TableClient &table,
-          const Ownership &ownership, const FleetView &view, Metrics &metrics);
-    ~Owner();
+    FleetOwner(boost::asio::io_context &io, const NodeSettings &settings,
+               platform::TableClient &table, const Ownership &ownership, const FleetView &view,
+               Metrics &metrics);
+    ~FleetOwner();
 
     void start();
     void stop();
     /// Takes a change of the configuration or of the waves.
     void viewChanged();
     /// Returns how many jobs of each queue wait; empty until the jobs are loaded.
-    std::vector<QueueLoad> loads() const;
+    std::vector<QueueLoad> loadByQueue() const;
     bool isLoaded() const { return m_isLoaded; }
     /// Returns whether another owner's token was met.
-    bool isDeposed() const { return m_isDeposed; }
+    bool isSuperseded() const { return m_isSuperseded; }
 
 private:
-    void fence(int part);
-    void writeFence(int part, std::uint64_t knownVersion);
+    void fencePartition(int part);
+    void writeFencingToken(int part, std::uint64_t knownVersion);
     void readProgress(int part, const std::string &from);
-    void takeProgress(const platform::ReadResult &result);
-    void followJobs();
-    void takeJobs(const TableFollower::Update &update);
-    void takeWorkers(const platform::ReadResult &result);
-    void readWorkers();
-    void carryOut(std::vector<SchedulerAction> &actions);
+    void applyProgress(const platform::ReadResult &result);
+    void watchJobs();
+    void applyJobs(const TableWatcher::Update &update);
+    void applyWorkerList(const platform::ReadResult &result);
+    void readWorkerList();
+    void dispatch(std::vector<SchedulerAction> &actions);
     void send(const StartOrder &order);
     void send(const StopOrder &order);
     void send(const PaceOrder &order);
     void send(const LookOrder &order);
     void send(const AdviceOrder &order);
     void send(const RecordOrder &order);
-    void recorded(int part, const std::vector<JobProgress> &updates,
-                  const platform::TransactionResult &result);
-    void wake();
+    void onRecordAnswered(int part, const std::vector<JobProgress> &updates,
+                          const platform::TransactionResult &result);
+    void scheduleStep();
     void step();
     void logDecisions();
     std::string addressOf(WorkerId worker) const;
@@ -73,23 +74,24 @@
     Metrics &m_metrics;
     TermRecord m_term;
     Scheduler m_scheduler;
-    platform::WorkerClient m_workers;
-    std::unique_ptr<platform::AdviceClient> m_advice;
-    std::shared_ptr<HostKeeper> m_hosts;
-    std::shared_ptr<TableFollower> m_jobs;
-    std::map<JobId, JobProgress> m_progress; ///< Read at the take-over, until the jobs are.
-    std::vector<std::uint64_t> m_fences; ///< Versions of the owner's rows, by part.
-    int m_partsToRead = 0;
+    platform::WorkerClient m_workerClient;
+    std::unique_ptr<platform::AdviceClient> m_adviceClient;
+    std::shared_ptr<HostController> m_hostController;
+    std::shared_ptr<TableWatcher> m_jobWatcher;
+    std::map<JobId, JobProgress>
+        m_inheritedProgress; ///< Read at the take-over, until the jobs are.
+    std::vector<std::uint64_t> m_tokenRowVersions; ///< Versions of the owner's rows, by part.
+    int m_partitionsToRead = 0;
     int m_recordsInFlight = 0;
-    bool m_areRecordsDone = true;
+    bool m_areRecordsStored = true;
     std::map<JobId, std::uint64_t> m_progressVersions;
-    boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_listTimer;
-    bool m_isWakePosted = false;
+    boost::asio::steady_timer m_stepTimer;
+    boost::asio::steady_timer m_workerListTimer;
+    bool m_isStepScheduled = false;
     bool m_isLoaded = false;
     bool m_areWorkersListed = false;
     bool m_isStopped = false;
-    bool m_isDeposed = false;
+    bool m_isSuperseded = false;
 };
 
 } // namespace oleanderhall
--- a/src/node/ownerloading.cpp
+++ b/src/node/fleetownerloading.cpp
@@ -1,5 +1,5 @@
 // How an owner learns of jobs and workers.
-#include "owner.h"
+#include "fleetowner.h"
 
 #include "storednames.h"
 
@@ -16,60 +16,62 @@
 
 namespace {
 
-constexpr Millis kListEvery{700}; // a draining worker gets no task 2 s after it says so
-constexpr Millis kListSoon{100}; // while hosts are on their way into a pool
-constexpr Millis kListTime{1500};
-constexpr Millis kFenceTime{2500};
-constexpr Millis kJobWait{1000};
-constexpr Millis kJobSpacing{20}; // jobs that arrive together are read together
+constexpr Millis kWorkerListInterval{700}; // a draining worker gets no task 2 s after it says so
+constexpr Millis kShortWorkerListInterval{100}; // while hosts are on their way into a pool
+constexpr Millis kReadTimeout{1500};
+constexpr Millis kFencingTimeout{2500};
+constexpr Millis kJobLongPoll{1000};
+constexpr Millis kJobPollSpacing{20}; // jobs that arrive together are read together
 
 } // namespace
 
 /// Puts this owner's token into the part, so that no earlier owner can record there any more.
-void Owner::fence(int part)
+void FleetOwner::fencePartition(int part)
 {
-    m_table.read(kFenceTable, partName(part), "", "", kListTime,
+    m_table.read(kFencingTokenTable, jobPartitionName(part), "", "", kReadTimeout,
                  [weak = weak_from_this(), part](const platform::ReadResult &result) {
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
                      if (!result.isAnswered) {
-                         self->fence(part); // a call takes its time even when it fails
+                         self->fencePartition(part); // a call takes its time even when it fails
                          return;
                      }
                      std::uint64_t version = 0;
                      for (const platform::TableRow &row : result.rows) {
                          version = row.version;
                          const auto token = std::strtoull(row.value.c_str(), nullptr, 10);
-                         self->m_isDeposed = self->m_isDeposed || token > self->m_term.version;
+                         self->m_isSuperseded = self->m_isSuperseded
+                             || token > self->m_term.version;
                      }
-                     if (!self->m_isDeposed)
-                         self->writeFence(part, version);
+                     if (!self->m_isSuperseded)
+                         self->writeFencingToken(part, version);
                  });
 }
 
-void Owner::writeFence(int part, std::uint64_t knownVersion)
+void FleetOwner::writeFencingToken(int part, std::uint64_t knownVersion)
 {
-    platform::Transaction transaction{.part = partName(part)};
-    transaction.expected.push_back({kFenceTable, kFenceKey, knownVersion});
-    transaction.writes.push_back({kFenceTable, kFenceKey, std::to_string(m_term.version)});
-    m_table.transact(transaction, kFenceTime,
+    platform::Transaction transaction{.part = jobPartitionName(part)};
+    transaction.expected.push_back({kFencingTokenTable, kFencingTokenKey, knownVersion});
+    transaction.writes.push_back(
+        {kFencingTokenTable, kFencingTokenKey, std::to_string(m_term.version)});
+    m_table.transact(transaction, kFencingTimeout,
                      [weak = weak_from_this(), part](const platform::TransactionResult &result) {
                          const auto self = weak.lock();
                          if (!self || self->m_isStopped)
                              return;
                          if (result.outcome != platform::TransactionResult::Outcome::Done) {
-                             self->fence(part);
+                             self->fencePartition(part);
                              return;
                          }
-                         self->m_fences[static_cast<std::size_t>(part)] = result.version;
+                         self->m_tokenRowVersions[static_cast<std::size_t>(part)] = result.version;
                          self->readProgress(part, "");
                      });
 }
 
-void Owner::readProgress(int part, const std::string &from)
+void FleetOwner::readProgress(int part, const std::string &from)
 {
-    m_table.read(kProgressTable, partName(part), from, "", kListTime,
+    m_table.read(kProgressTable, jobPartitionName(part), from, "", kReadTimeout,
                  [weak = weak_from_this(), part, from](const platform::ReadResult &result) {
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
@@ -78,15 +80,15 @@
                          self->readProgress(part, from);
                          return;
                      }
-                     self->takeProgress(result);
+                     self->applyProgress(result);
                      if (result.hasMore && !result.rows.empty())
                          self->readProgress(part, result.rows.back().key + " ");
-                     else if (--self->m_partsToRead == 0)
-                         self->followJobs();
+                     else if (--self->m_partitionsToRead == 0)
+                         self->watchJobs();
                  });
 }
 
-void Owner::takeProgress(const platform::ReadResult &result)
+void FleetOwner::applyProgress(const platform::ReadResult &result)
 {
     for (const platform::TableRow &row : result.rows) {
         const auto key = parseJobKey(row.key);
@@ -94,31 +96,32 @@
             continue;
         m_progressVersions[key->id] = row.version;
         if (auto decoded = decodeProgress(key->id, row.value))
-            m_progress[key->id] = std::move(*decoded);
+            m_inheritedProgress[key->id] = std::move(*decoded);
         else
             logWarning("job_progress_unreadable", {{"job", textOf(key->id)}});
     }
 }
 
-void Owner::followJobs()
+void FleetOwner::watchJobs()
 {
-    TableFollower::Source source{.table = kJobTable, .wait = kJobWait, .spacing = kJobSpacing};
-    for (int part = 0; part < kJobParts; ++part)
-        source.parts.push_back(partName(part));
-    m_jobs = std::make_shared<TableFollower>(
+    TableWatcher::Source source{
+        .table = kJobTable, .longPoll = kJobLongPoll, .spacing = kJobPollSpacing};
+    for (int part = 0; part < kJobPartitions; ++part)
+        source.partitions.push_back(jobPartitionName(part));
+    m_jobWatcher = std::make_shared<TableWatcher>(
         m_io, m_table, std::move(source),
-        [weak = weak_from_this()](const TableFollower::Update &update) {
+        [weak = weak_from_this()](const TableWatcher::Update &update) {
             if (const auto self = weak.lock())
-                self->takeJobs(update);
+                self->applyJobs(update);
         });
-    m_jobs->start();
+    m_jobWatcher->start();
 }
 
-void Owner::takeJobs(const TableFollower::Update &update)
+void FleetOwner::applyJobs(const TableWatcher::Update &update)
 {
     const Instant now = bootNow();
     std::vector<JobId> cancelled;
-    const bool isFirst = update.isWhole && !m_isLoaded;
+    const bool isFirst = update.isSnapshot && !m_isLoaded;
     for (const platform::TableRow &row : update.rows) {
         const auto key = parseJobKey(row.key);
         if (!key || row.isDeleted)
@@ -133,46 +136,49 @@
             continue;
         }
         const Millis age(std::max<std::int64_t>(0, update.clockMs - spec->acceptedMs));
-        const auto known = m_progress.find(key->id);
+        const auto known = m_inheritedProgress.find(key->id);
         // Both rows of a job are written together, so its progress row has the same version.
         m_progressVersions.try_emplace(key->id, row.version);
-        const JobProgress progress = known == m_progress.end()
+        const JobProgress progress = known == m_inheritedProgress.end()
             ? JobProgress{.id = key->id, .isReleased = spec->isReleased}
             : known->second;
         m_scheduler.accept(std::move(*spec), progress, isFirst, now - age);
-        m_progress.erase(key->id);
+        m_inheritedProgress.erase(key->id);
     }
     // Ended jobs have no spec any more; they are kept until their state need not be told.
-    for (const auto &[id, record] : m_progress) {
+    for (const auto &[id, record] : m_inheritedProgress) {
         if (isFinal(record.state))
             m_scheduler.accept({.id = id, .acceptedMs = record.acceptedMs}, record, true, now);
     }
-    m_progress.clear();
+    m_inheritedProgress.clear();
     for (const JobId id : cancelled)
         m_scheduler.cancel(id, now);
     m_isLoaded = true;
-    wake();
+    scheduleStep();
 }
 
-void Owner::readWorkers()
+void FleetOwner::readWorkerList()
 {
-    m_table.read(platform::kWorkerTable, "", "", "", kListTime,
+    m_table.read(platform::kWorkerTable, "", "", "", kReadTimeout,
                  [weak = weak_from_this()](const platform::ReadResult &result) {
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
-                     self->takeWorkers(result);
-                     self->m_listTimer.expires_after(
-                         self->m_hosts && self->m_hosts->isWaiting() ? kListSoon : kListEvery);
-                     self->m_listTimer.async_wait([weak](const boost::system::error_code &failed) {
-                         const auto again = weak.lock();
-                         if (!failed && again && !again->m_isStopped)
-                             again->readWorkers();
-                     });
+                     self->applyWorkerList(result);
+                     self->m_workerListTimer.expires_after(
+                         self->m_hostController && self->m_hostController->hasPendingChanges()
+                             ? kShortWorkerListInterval
+                             : kWorkerListInterval);
+                     self->m_workerListTimer.async_wait(
+                         [weak](const boost::system::error_code &failed) {
+                             const auto again = weak.lock();
+                             if (!failed && again && !again->m_isStopped)
+                                 again->readWorkerList();
+                         });
                  });
 }
 
-void Owner::takeWorkers(const platform::ReadResult &result)
+void FleetOwner::applyWorkerList(const platform::ReadResult &result)
 {
     if (!result.isAnswered)
         return; // the last list stays; a worker that is gone does not answer
@@ -186,7 +192,7 @@
     }
     m_scheduler.listWorkers(workers, bootNow());
     m_areWorkersListed = true;
-    wake();
+    scheduleStep();
 }
 
 } // namespace oleanderhall
--- a/src/node/fleetview.h
+++ b/src/node/fleetview.h
@@ -16,18 +16,18 @@
 /// requested waves and the owner's latest report.
 struct FleetView
 {
-    struct Report
+    struct OwnerReport
     {
-        std::map<std::string, std::int64_t> waiting; ///< By queue's name.
-        Instant heard;
+        std::map<std::string, std::int64_t> waitingJobs; ///< By queue's name.
+        Instant receivedAt;
     };
 
     std::optional<FleetConfig> config;
     std::map<std::int64_t, Wave> waves;
-    std::map<std::int64_t, Instant> waveSeen;
+    std::map<std::int64_t, Instant> waveSeenAt;
     /// Hosts that owners have recorded as maintained, by wave.
-    std::map<std::int64_t, std::set<HostId>> maintained;
-    Report report;
+    std::map<std::int64_t, std::set<HostId>> maintainedHosts;
+    OwnerReport report;
     Instant lastContact{}; ///< When the last answered call to the table was sent.
 
     std::int64_t
@@ -41,9 +41,9 @@
 
     /// How old the last contact may be before the table counts as out of reach: two waits of one
     /// second each, and a slow answer.
-    static constexpr Millis kContactLimit{2500};
+    static constexpr Millis kContactTimeout{2500};
 
-    bool isTableReachable(Instant now) const { return now - lastContact < kContactLimit; }
+    bool isTableReachable(Instant now) const { return now - lastContact < kContactTimeout; }
 };
 
 } // namespace oleanderhall
--- a/src/node/hostkeeper.cpp
+++ b/src/node/hostcontroller.cpp
@@ -1,4 +1,4 @@
-#include "hostkeeper.h"
+#include "hostcontroller.h"
 
 #include "storednames.h"
 
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr Millis kListEvery{1500};
-constexpr Millis kListSoon{300}; // while hosts move or are maintained
-constexpr Millis kPlanEvery{60};
-constexpr Millis kRecordEvery{300};
-constexpr Millis kWriteTime{1500};
-constexpr Millis kAnnounceTime{700}; // an order that is later than this is planned anew
-constexpr Millis kPauseSlack{200};
-constexpr const char *kIntentKey = "host-orders";
+constexpr Millis kHostListInterval{1500};
+constexpr Millis kShortHostListInterval{300}; // while hosts move or are maintained
+constexpr Millis kPlanInterval{60};
+constexpr Millis kRecordInterval{300};
+constexpr Millis kTableTimeout{1500};
+constexpr Millis kOrderRecordTimeout{700}; // an order that is later than this is planned anew
+constexpr Millis kOrderPauseMargin{200};
+constexpr const char *kHostOrdersKey = "host-orders";
 
 const char *nameOf(HostOrderResult result)
 {
@@ -70,49 +70,51 @@
 
 } // namespace
 
-HostKeeper::HostKeeper(boost::asio::io_context &io, const NodeSettings &settings,
-                       platform::TableClient &table, const Ownership &ownership,
-                       const FleetView &view, Scheduler &scheduler, Metrics &metrics)
+HostController::HostController(boost::asio::io_context &io, const NodeSettings &settings,
+                               platform::TableClient &table, const Ownership &ownership,
+                               const FleetView &view, Scheduler &scheduler, Metrics &metrics)
     : m_settings(settings)
     , m_table(table)
     , m_ownership(ownership)
     , m_view(view)
     , m_scheduler(scheduler)
-    , m_client(io, settings.hosts, settings.id.name(), metrics)
+    , m_client(io, settings.hostServiceAddress, settings.id.name(), metrics)
     , m_planner(plannerSettings(settings))
     , m_listTimer(io)
 {}
 
-void HostKeeper::start()
+void HostController::start()
 {
-    readList();
-    readIntents();
+    readHostList();
+    readRecordedOrders();
 }
 
-void HostKeeper::readIntents()
+void HostController::readRecordedOrders()
 {
-    m_table.read(kControlTable, kOwnPart, kIntentKey, std::string(kIntentKey) + " ", kWriteTime,
+    m_table.read(kControlTable, kControlPartition, kHostOrdersKey,
+                 std::string(kHostOrdersKey) + " ", kTableTimeout,
                  [weak = weak_from_this()](const platform::ReadResult &result) {
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
                      if (!result.isAnswered)
-                         self->readIntents(); // a call takes its time even when it fails
+                         self->readRecordedOrders(); // a call takes its time even when it fails
                      else
-                         self->takeIntents(result);
+                         self->applyRecordedOrders(result);
                  });
 }
 
-void HostKeeper::takeIntents(const platform::ReadResult &result)
+void HostController::applyRecordedOrders(const platform::ReadResult &result)
 {
     const Instant now = bootNow();
-    m_areIntentsRead = true;
+    m_areRecordedOrdersRead = true;
     for (const platform::TableRow &row : result.rows) {
         try {
             const web::json::value intents = web::json::value::parse(row.value);
             for (const auto &[host, time] : intents.as_object()) {
                 const Millis age(result.clockMs - time.as_number().to_int64());
-                m_planner.pause(HostId(host), now - age + m_settings.hostOrderPause + kPauseSlack);
+                m_planner.pause(HostId(host),
+                                now - age + m_settings.hostOrderPause + kOrderPauseMargin);
             }
         } catch (const web::json::json_exception &error) {
             logWarning("host_intents_unreadable", {{"reason", error.what()}});
@@ -122,28 +124,28 @@
 
 /// Orders to hosts are written down before they are sent, so that a next owner knows which hosts
 /// to leave alone for a while.
-void HostKeeper::announce(const std::vector<HostOrder> &orders, Instant now)
+void HostController::recordAndSend(const std::vector<HostOrder> &orders, Instant now)
 {
     if (orders.empty())
         return;
     const std::int64_t time = m_view.tableTime(now);
-    std::erase_if(m_intents, [&](const auto &entry) {
+    std::erase_if(m_orderTimes, [&](const auto &entry) {
         return entry.second + 2 * m_settings.hostOrderPause.count() < time;
     });
     std::vector<std::pair<HostOrder, WorkerId>> pending;
     for (const HostOrder &order : orders) {
-        const WorkerId worker = m_workers[order.host];
-        m_intents[order.host] = time;
+        const WorkerId worker = m_workerOfHost[order.host];
+        m_orderTimes[order.host] = time;
         m_scheduler.setEnding(worker, true);
         pending.emplace_back(order, worker);
     }
     web::json::value record = web::json::value::object();
-    for (const auto &[host, when] : m_intents)
+    for (const auto &[host, when] : m_orderTimes)
         record[host.name()] = web::json::value(when);
-    platform::Transaction transaction{.part = kOwnPart};
+    platform::Transaction transaction{.part = kControlPartition};
     transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
-    transaction.writes.push_back({kControlTable, kIntentKey, record.serialize()});
-    m_table.transact(transaction, kAnnounceTime,
+    transaction.writes.push_back({kControlTable, kHostOrdersKey, record.serialize()});
+    m_table.transact(transaction, kOrderRecordTimeout,
                      [weak = weak_from_this(), pending](const platform::TransactionResult &result) {
                          const auto self = weak.lock();
                          if (!self || self->m_isStopped)
@@ -155,23 +157,23 @@
                              if (maySend)
                                  self->send(order, worker);
                              else
-                                 self->answered(order, worker, HostOrderResult::Refused);
+                                 self->onOrderAnswered(order, worker, HostOrderResult::Refused);
                          }
                      });
 }
 
-void HostKeeper::stop()
+void HostController::stop()
 {
     m_isStopped = true;
     m_listTimer.cancel();
 }
 
-bool HostKeeper::isWaiting() const
+bool HostController::hasPendingChanges() const
 {
     return m_planner.isWaiting(bootNow());
 }
 
-void HostKeeper::readList()
+void HostController::readHostList()
 {
     m_client.list([weak = weak_from_this(),
                    asked = bootNow()](const std::optional<std::vector<HostInfo>> &hosts) {
@@ -179,19 +181,20 @@
         if (!self || self->m_isStopped)
             return;
         if (hosts)
-            self->takeList(*hosts, asked);
+            self->applyHostList(*hosts, asked);
         else
             logWarning("host_list_not_read");
-        self->m_listTimer.expires_after(self->isWaiting() ? kListSoon : kListEvery);
+        self->m_listTimer.expires_after(self->hasPendingChanges() ? kShortHostListInterval
+                                                                  : kHostListInterval);
         self->m_listTimer.async_wait([weak](const boost::system::error_code &failed) {
             const auto again = weak.lock();
             if (!failed && again && !again->m_isStopped)
-                again->readList();
+                again->readHostList();
         });
     });
 }
 
-void HostKeeper::takeList(const std::vector<HostInfo> &hosts, Instant asked)
+void HostController::applyHostList(const std::vector<HostInfo> &hosts, Instant asked)
 {
     const Instant now = bootNow();
     m_planner.takeHosts(hosts, now);
@@ -204,11 +207,11 @@
                 {{"host", verdict.host.name()}, {"worker", verdict.worker.name()}});
         m_scheduler.setEnding(verdict.worker, false);
     }
-    m_workers.clear();
+    m_workerOfHost.clear();
     std::map<ServiceId, std::vector<WorkerId>> expected;
     for (const HostInfo &host : hosts) {
-        m_workers[host.id] = host.worker;
-        noteState(host);
+        m_workerOfHost[host.id] = host.worker;
+        updateState(host);
         std::vector<WorkerId> &workers = expected[host.pool];
         if (!host.worker.empty() && host.state != HostInfo::State::Down)
             workers.push_back(host.worker);
@@ -217,62 +220,64 @@
         m_scheduler.expectWorkers(pool, std::move(workers));
 }
 
-void HostKeeper::noteState(const HostInfo &host)
+void HostController::updateState(const HostInfo &host)
 {
-    const auto known = m_states.find(host.id);
-    if (known != m_states.end() && known->second == host.state)
+    const auto known = m_hostStates.find(host.id);
+    if (known != m_hostStates.end() && known->second == host.state)
         return;
-    if (known != m_states.end() || host.state != HostInfo::State::Up)
+    if (known != m_hostStates.end() || host.state != HostInfo::State::Up)
         logInfo("host_state",
                 {{"host", host.id.name()},
                  {"worker", host.worker.name()},
                  {"pool", host.pool.name()},
                  {"state", nameOf(host.state)}});
-    m_states[host.id] = host.state;
+    m_hostStates[host.id] = host.state;
 }
 
-WorkerUse HostKeeper::useOf(WorkerId id) const
+WorkerUse HostController::workerUse(WorkerId id) const
 {
     const auto found = m_scheduler.workers().find(id);
     if (found == m_scheduler.workers().end())
         return {};
-    constexpr double kMilli = 1000;
+    constexpr double kMilliCoresPerCore = 1000;
     const WorkerState &worker = found->second;
     WorkerUse use{.isKnown = worker.isListed && worker.isRead && !worker.isEnding,
                   .isEmpty = worker.runs.empty(),
                   .mayInterrupt = m_scheduler.mayInterrupt(id)};
     for (const WorkerRun &run : worker.runs) {
         if (!run.isLongRunning)
-            use.batchCores += std::max(1.0, static_cast<double>(run.need.milliCores) / kMilli);
+            use.batchCores += std::max(
+                1.0, static_cast<double>(run.need.milliCores) / kMilliCoresPerCore);
     }
     return use;
 }
 
-void HostKeeper::step(Instant now)
+void HostController::step(Instant now)
 {
-    if (now < m_planDue || !m_areIntentsRead)
+    if (now < m_nextPlan || !m_areRecordedOrdersRead)
         return;
-    m_planDue = now + kPlanEvery;
+    m_nextPlan = now + kPlanInterval;
     if (m_view.config)
         m_planner.setPools(m_view.config->pools);
     for (const auto &[number, wave] : m_view.waves) {
-        const auto known = m_view.maintained.find(number);
-        m_planner.addWave(wave, m_view.waveSeen.at(number),
-                          known == m_view.maintained.end() ? std::set<HostId>() : known->second);
+        const auto known = m_view.maintainedHosts.find(number);
+        m_planner.addWave(wave, m_view.waveSeenAt.at(number),
+                          known == m_view.maintainedHosts.end() ? std::set<HostId>()
+                                                                : known->second);
     }
     const HostPlanner::Plan plan = m_planner.plan(
-        m_scheduler.poolDemands(now), [this](WorkerId worker) { return useOf(worker); }, now);
+        m_scheduler.poolDemands(now), [this](WorkerId worker) { return workerUse(worker); }, now);
     m_scheduler.cordon(plan.cordoned);
     m_scheduler.setDueSoon(plan.dueSoon);
     m_scheduler.evacuate(plan.evacuated, now);
-    announce(plan.orders, now);
+    recordAndSend(plan.orders, now);
     for (const auto &[wave, isCompleted] : plan.waveStates)
-        m_unpublished[wave] = isCompleted;
-    publish();
-    recordMaintained(now);
+        m_unpublishedWaveStates[wave] = isCompleted;
+    publishWaveState();
+    recordMaintainedHosts(now);
 }
 
-void HostKeeper::send(const HostOrder &order, WorkerId worker)
+void HostController::send(const HostOrder &order, WorkerId worker)
 {
     logInfo("host_ordered",
             {{"host", order.host.name()},
@@ -283,7 +288,7 @@
     const auto done = [weak = weak_from_this(), order, worker](HostOrderResult result) {
         const auto self = weak.lock();
         if (self && !self->m_isStopped)
-            self->answered(order, worker, result);
+            self->onOrderAnswered(order, worker, result);
     };
     const std::uint64_t token = m_ownership.term().version;
     if (order.isMove())
@@ -292,7 +297,8 @@
         m_client.maintain(order.host, order.wave, token, done);
 }
 
-void HostKeeper::answered(const HostOrder &order, WorkerId worker, HostOrderResult result)
+void HostController::onOrderAnswered(const HostOrder &order, WorkerId worker,
+                                     HostOrderResult result)
 {
     const Instant now = bootNow();
     logFields("host_order_answered", result != HostOrderResult::Done,
@@ -304,16 +310,16 @@
         m_scheduler.setEnding(worker, false);
 }
 
-void HostKeeper::publish()
+void HostController::publishWaveState()
 {
-    if (m_isPublishing || m_unpublished.empty())
+    if (m_isPublishing || m_unpublishedWaveStates.empty())
         return;
-    const auto [wave, isCompleted] = *m_unpublished.begin();
+    const auto [wave, isCompleted] = *m_unpublishedWaveStates.begin();
     m_isPublishing = true;
     platform::Transaction transaction;
     transaction.writes.push_back({platform::kStatusTable, platform::waveStatusKey(wave),
                                   platform::encodeWaveStatus(isCompleted)});
-    m_table.transact(transaction, kWriteTime,
+    m_table.transact(transaction, kTableTimeout,
                      [weak = weak_from_this(), wave = wave,
                       isCompleted = isCompleted](const platform::TransactionResult &result) {
                          const auto self = weak.lock();
@@ -325,31 +331,33 @@
                          logInfo("wave_state",
                                  {{"wave", std::to_string(wave)},
                                   {"completed", isCompleted ? "true" : "false"}});
-                         const auto found = self->m_unpublished.find(wave);
-                         if (found != self->m_unpublished.end() && found->second == isCompleted)
-                             self->m_unpublished.erase(found);
+                         const auto found = self->m_unpublishedWaveStates.find(wave);
+                         if (found != self->m_unpublishedWaveStates.end()
+                             && found->second == isCompleted)
+                             self->m_unpublishedWaveStates.erase(found);
                      });
 }
 
-void HostKeeper::recordMaintained(Instant now)
+void HostController::recordMaintainedHosts(Instant now)
 {
-    if (m_isRecording || now < m_recordDue)
+    if (m_isRecording || now < m_nextRecord)
         return;
-    m_recordDue = now + kRecordEvery;
+    m_nextRecord = now + kRecordInterval;
     for (const auto &[number, wave] : m_view.waves) {
         const std::set<HostId> maintained = m_planner.maintained(number);
-        if (maintained.size() <= m_recorded[number])
+        if (maintained.size() <= m_recordedHostCounts[number])
             continue;
         web::json::value list = web::json::value::array();
         std::size_t index = 0;
         for (const HostId host : maintained)
             list[index++] = web::json::value(host.name());
-        platform::Transaction transaction{.part = kOwnPart};
+        platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
-        transaction.writes.push_back(
-            {kControlTable, std::string(kWavePrefix) + std::to_string(number), list.serialize()});
+        transaction.writes.push_back({kControlTable,
+                                      std::string(kMaintainedHostsPrefix) + std::to_string(number),
+                                      list.serialize()});
         m_isRecording = true;
-        m_table.transact(transaction, kWriteTime,
+        m_table.transact(transaction, kTableTimeout,
                          [weak = weak_from_this(), number = number,
                           count = maintained.size()](const platform::TransactionResult &result) {
                              const auto self = weak.lock();
@@ -357,7 +365,7 @@
                                  return;
                              self->m_isRecording = false;
                              if (result.outcome == platform::TransactionResult::Outcome::Done)
-                                 self->m_recorded[number] = count;
+                                 self->m_recordedHostCounts[number] = count;
                          });
         return;
     }
--- a/src/node/jobwriter.cpp
+++ b/src/node/jobwriter.cpp
@@ -13,21 +13,21 @@
 
 namespace {
 
-constexpr std::size_t kBatchJobs = 30; // three entries each, of the 100 that a call may hold
-constexpr std::size_t kBatchBytes = 400UL << 10; // of job texts; a call holds 1 MB in base64
+constexpr std::size_t kMaxBatchJobs = 30; // three entries each, of the 100 that a call may hold
+constexpr std::size_t kMaxBatchBytes = 400UL << 10; // of job texts; a call holds 1 MB in base64
 /// A part of the table turns transactions away when more than a second of them waits, and a slow
 /// one takes several hundred milliseconds for each.
-constexpr Millis kCallTime{2500};
+constexpr Millis kStoreTimeout{2500};
 constexpr Millis kRetryDelay{100};
-constexpr Millis kLateCheck{50};
+constexpr Millis kDeadlineCheckInterval{50};
 
 } // namespace
 
 JobWriter::JobWriter(boost::asio::io_context &io, platform::TableClient &table, std::string part)
     : m_table(table)
-    , m_part(std::move(part))
+    , m_partition(std::move(part))
     , m_retryTimer(io)
-    , m_lateTimer(io)
+    , m_deadlineTimer(io)
 {}
 
 void JobWriter::store(const JobSpec &job, Instant latest, Done done)
@@ -37,9 +37,9 @@
         done(StoreOutcome::Refused, 0); // it would only be known later that it was in vain
         return;
     }
-    WaitingPtr &waiting = m_jobs[job.id];
+    PendingJobPtr &waiting = m_jobs[job.id];
     if (!waiting) {
-        waiting = std::make_shared<Waiting>();
+        waiting = std::make_shared<PendingJob>();
         waiting->id = job.id;
         waiting->spec = encodeJob(job);
         waiting->progress = encodeProgress(
@@ -47,49 +47,49 @@
         m_queue.push_back(waiting);
     }
     waiting->callers.push_back({latest, std::move(done)});
-    send();
-    watch();
+    sendBatch();
+    scheduleDeadlineCheck();
 }
 
-void JobWriter::watch()
+void JobWriter::scheduleDeadlineCheck()
 {
-    if (m_isWatching || m_jobs.empty())
+    if (m_isDeadlineCheckScheduled || m_jobs.empty())
         return;
-    m_isWatching = true;
-    m_lateTimer.expires_after(kLateCheck);
-    m_lateTimer.async_wait([this](const boost::system::error_code &failed) {
+    m_isDeadlineCheckScheduled = true;
+    m_deadlineTimer.expires_after(kDeadlineCheckInterval);
+    m_deadlineTimer.async_wait([this](const boost::system::error_code &failed) {
         if (failed)
             return;
-        m_isWatching = false;
-        giveUpLate();
-        watch();
+        m_isDeadlineCheckScheduled = false;
+        expireCallers();
+        scheduleDeadlineCheck();
     });
 }
 
-void JobWriter::finish(const WaitingPtr &waiting, StoreOutcome outcome, std::uint64_t version)
+void JobWriter::complete(const PendingJobPtr &waiting, StoreOutcome outcome, std::uint64_t version)
 {
     m_jobs.erase(waiting->id);
-    for (const Caller &caller : std::exchange(waiting->callers, {}))
+    for (const WaitingCaller &caller : std::exchange(waiting->callers, {}))
         caller.done(outcome, version);
 }
 
 /// Answers the callers whose time has run out. A job that was never sent is dropped with them.
-void JobWriter::giveUpLate()
+void JobWriter::expireCallers()
 {
     const Instant now = bootNow();
     std::vector<std::pair<Done, StoreOutcome>> late;
     for (const auto &[id, waiting] : m_jobs) {
         const bool isQueued = std::find(m_queue.begin(), m_queue.end(), waiting) != m_queue.end();
         const bool mayBeStored = waiting->mayBeStored || !isQueued;
-        std::erase_if(waiting->callers, [&](Caller &caller) {
-            if (now < caller.latest)
+        std::erase_if(waiting->callers, [&](WaitingCaller &caller) {
+            if (now < caller.deadline)
                 return false;
             late.emplace_back(std::move(caller.done),
                               mayBeStored ? StoreOutcome::Unknown : StoreOutcome::Refused);
             return true;
         });
     }
-    std::erase_if(m_queue, [&](const WaitingPtr &waiting) {
+    std::erase_if(m_queue, [&](const PendingJobPtr &waiting) {
         if (!waiting->callers.empty())
             return false;
         m_jobs.erase(waiting->id);
@@ -99,19 +99,19 @@
         done(outcome, 0);
 }
 
-void JobWriter::send()
+void JobWriter::sendBatch()
 {
-    if (m_queue.empty() || m_isInFlight || m_isPausing)
+    if (m_queue.empty() || m_isInFlight || m_isBackingOff)
         return;
     Batch batch;
     std::size_t bytes = 0;
-    while (!m_queue.empty() && batch.size() < kBatchJobs && bytes < kBatchBytes) {
+    while (!m_queue.empty() && batch.size() < kMaxBatchJobs && bytes < kMaxBatchBytes) {
         bytes += m_queue.front()->spec.size();
         batch.push_back(std::move(m_queue.front()));
         m_queue.pop_front();
     }
-    platform::Transaction transaction{.part = m_part};
-    for (const WaitingPtr &waiting : batch) {
+    platform::Transaction transaction{.part = m_partition};
+    for (const PendingJobPtr &waiting : batch) {
         const std::string progressKey = jobKey(waiting->id, JobRow::Progress);
         transaction.expected.push_back({kProgressTable, progressKey, 0});
         transaction.writes.push_back({kJobTable, jobKey(waiting->id, JobRow::Spec), waiting->spec});
@@ -119,13 +119,13 @@
     }
     m_isInFlight = true;
     m_storeTime.sent(bootNow());
-    m_table.transact(transaction, kCallTime,
+    m_table.transact(transaction, kStoreTimeout,
                      [this, batch = std::move(batch)](const platform::TransactionResult &result) {
-                         answered(batch, result);
+                         onBatchAnswered(batch, result);
                      });
 }
 
-void JobWriter::answered(const Batch &batch, const platform::TransactionResult &result)
+void JobWriter::onBatchAnswered(const Batch &batch, const platform::TransactionResult &result)
 {
     using Outcome = platform::TransactionResult::Outcome;
     m_isInFlight = false;
@@ -139,27 +139,27 @@
     }
     for (auto waiting = batch.rbegin(); waiting != batch.rend(); ++waiting) {
         if (result.outcome == Outcome::Done) {
-            finish(*waiting, StoreOutcome::Stored, result.version);
+            complete(*waiting, StoreOutcome::Stored, result.version);
         } else if (present.contains(jobKey((*waiting)->id, JobRow::Progress))) {
-            finish(*waiting, StoreOutcome::AlreadyStored, result.version);
+            complete(*waiting, StoreOutcome::AlreadyStored, result.version);
         } else {
             (*waiting)->mayBeStored = (*waiting)->mayBeStored || result.outcome == Outcome::Unknown;
             m_queue.push_front(*waiting);
         }
     }
-    giveUpLate();
+    expireCallers();
     if (result.outcome == Outcome::Refused || result.outcome == Outcome::Unknown) {
-        m_isPausing = true;
+        m_isBackingOff = true;
         m_retryTimer.expires_after(kRetryDelay);
         m_retryTimer.async_wait([this](const boost::system::error_code &failed) {
             if (failed)
                 return;
-            m_isPausing = false;
-            send();
+            m_isBackingOff = false;
+            sendBatch();
         });
         return;
     }
-    send();
+    sendBatch();
 }
 
 } // namespace oleanderhall
--- a/src/node/jobwriter.h
+++ b/src/node/jobwriter.h
@@ -41,41 +41,41 @@
     void store(const JobSpec &job, Instant latest, Done done);
 
     /// Returns the time until a job that arrives now is stored, as far as is known.
-    Millis expected(Instant now) const { return m_storeTime.expected(now); }
+    Millis expectedDelay(Instant now) const { return m_storeTime.expected(now); }
 
 private:
-    struct Caller
+    struct WaitingCaller
     {
-        Instant latest;
+        Instant deadline;
         Done done;
     };
-    struct Waiting
+    struct PendingJob
     {
         JobId id;
         std::string spec;
         std::string progress;
-        std::vector<Caller> callers;
+        std::vector<WaitingCaller> callers;
         bool mayBeStored = false;
     };
-    using WaitingPtr = std::shared_ptr<Waiting>;
-    using Batch = std::vector<WaitingPtr>;
+    using PendingJobPtr = std::shared_ptr<PendingJob>;
+    using Batch = std::vector<PendingJobPtr>;
 
-    void send();
-    void answered(const Batch &batch, const platform::TransactionResult &result);
-    void finish(const WaitingPtr &waiting, StoreOutcome outcome, std::uint64_t version);
-    void giveUpLate();
-    void watch();
+    void sendBatch();
+    void onBatchAnswered(const Batch &batch, const platform::TransactionResult &result);
+    void complete(const PendingJobPtr &waiting, StoreOutcome outcome, std::uint64_t version);
+    void expireCallers();
+    void scheduleDeadlineCheck();
 
     platform::TableClient &m_table;
-    std::string m_part;
+    std::string m_partition;
     boost::asio::steady_timer m_retryTimer;
-    boost::asio::steady_timer m_lateTimer;
-    std::map<JobId, WaitingPtr> m_jobs; ///< Queued or under way.
-    std::deque<WaitingPtr> m_queue;
+    boost::asio::steady_timer m_deadlineTimer;
+    std::map<JobId, PendingJobPtr> m_jobs; ///< Queued or under way.
+    std::deque<PendingJobPtr> m_queue;
     bool m_isInFlight = false;
     StoreTime m_storeTime;
-    bool m_isPausing = false;
-    bool m_isWatching = false;
+    bool m_isBackingOff = false;
+    bool m_isDeadlineCheckScheduled = false;
 };
 
 } // namespace oleanderhall
--- a/src/node/nodesettings.cpp
+++ b/src/node/nodesettings.cpp
@@ -34,9 +34,9 @@
     addOption(app, "--callers", raw.callers, "IP:PORT on which callers are served");
     addOption(app, "--health", raw.health, "IP:PORT on which the balancer asks for readiness");
     addOption(app, "--metrics", raw.metrics, "IP:PORT on which metrics are served");
-    addOption(app, "--table", settings.table, "IP:PORT of the table service");
-    addOption(app, "--hosts", settings.hosts, "IP:PORT of the host service");
-    addOption(app, "--advice", settings.advice, "IP:PORT of the policy service");
+    addOption(app, "--table", settings.tableAddress, "IP:PORT of the table service");
+    addOption(app, "--hosts", settings.hostServiceAddress, "IP:PORT of the host service");
+    addOption(app, "--advice", settings.adviceAddress, "IP:PORT of the policy service");
     addOption(app, "--processor-share", settings.processorShare, "Share of a core");
     addOption(app, "--stop-ms", raw.stopMs, "Longest time that a worker takes to stop a task");
     addOption(app, "--status-s", raw.statusLifetimeS, "How long the state of an ended job is kept");
@@ -61,15 +61,15 @@
         findings.add({kSettingsSource, "--zone", "is missing", "an availability zone"});
     settings.id = EntryId(raw.id);
     settings.zone = ZoneId(raw.zone);
-    settings.callers = parseSocketAddress(raw.callers, "--callers", findings);
-    settings.health = parseSocketAddress(raw.health, "--health", findings);
+    settings.callerAddress = parseSocketAddress(raw.callers, "--callers", findings);
+    settings.healthAddress = parseSocketAddress(raw.health, "--health", findings);
     if (!raw.metrics.empty())
-        settings.metrics = parseSocketAddress(raw.metrics, "--metrics", findings);
-    parseSocketAddress(settings.table, "--table", findings);
-    if (!settings.hosts.empty())
-        parseSocketAddress(settings.hosts, "--hosts", findings);
-    if (!settings.advice.empty())
-        parseSocketAddress(settings.advice, "--advice", findings);
+        settings.metricsAddress = parseSocketAddress(raw.metrics, "--metrics", findings);
+    parseSocketAddress(settings.tableAddress, "--table", findings);
+    if (!settings.hostServiceAddress.empty())
+        parseSocketAddress(settings.hostServiceAddress, "--hosts", findings);
+    if (!settings.adviceAddress.empty())
+        parseSocketAddress(settings.adviceAddress, "--advice", findings);
     const std::map<const char *, double> times{{"--stop-ms", raw.stopMs},
                                                {"--status-s", raw.statusLifetimeS},
                                                {"--move-s", raw.moveS},
@@ -80,12 +80,12 @@
         if (value < 0)
             findings.add({kSettingsSource, flag, "is below 0", "a time"});
     }
-    settings.stopTime = Millis(raw.stopMs);
+    settings.taskStopTimeout = Millis(raw.stopMs);
     settings.statusLifetime = fromSeconds(raw.statusLifetimeS);
     settings.moveTime = fromSeconds(raw.moveS);
     settings.maintenanceTime = fromSeconds(raw.maintenanceS);
     settings.hostOrderPause = Millis(raw.hostPauseMs);
-    settings.stopLimit = fromSeconds(raw.stopLimitS);
+    settings.shutdownTimeout = fromSeconds(raw.stopLimitS);
 }
 
 } // namespace
--- a/src/node/nodesettings.h
+++ b/src/node/nodesettings.h
@@ -15,19 +15,19 @@
 {
     EntryId id;
     ZoneId zone;
-    SocketAddress callers;
-    SocketAddress health;
-    SocketAddress metrics;
-    std::string table; ///< IP:PORT of the transactional table service.
-    std::string hosts; ///< IP:PORT of the platform's host service; empty for none.
-    std::string advice; ///< IP:PORT of the policy service; empty for none.
+    SocketAddress callerAddress;
+    SocketAddress healthAddress;
+    SocketAddress metricsAddress;
+    std::string tableAddress; ///< IP:PORT of the transactional table service.
+    std::string hostServiceAddress; ///< IP:PORT of the platform's host service; empty for none.
+    std::string adviceAddress; ///< IP:PORT of the policy service; empty for none.
     double processorShare = 1; ///< Of one core.
-    Millis stopTime{400};
+    Millis taskStopTimeout{400};
     Millis statusLifetime{120000};
     Millis moveTime{1500};
     Millis maintenanceTime{2000};
     Millis hostOrderPause{3000}; ///< Before orders to a host from another holder.
-    Millis stopLimit{6000}; ///< The platform kills the process after this.
+    Millis shutdownTimeout{6000}; ///< The platform kills the process after this.
 };
 
 /// Internal: reads flags, environment and the settings file that --settings or
--- a/src/node/storednames.h
+++ b/src/node/storednames.h
@@ -13,23 +13,23 @@
 // Internal: where the project's own rows lie in the table service.
 
 /// Internal: the part of the rows about ownership and hosts.
-inline constexpr const char *kOwnPart = "fleet";
+inline constexpr const char *kControlPartition = "fleet";
 /// Internal: a part takes a few hundred transactions a second, and a slow one only a few. Jobs are
 /// spread over this many parts by their id; each holds a row with the owner's token, so that every
 /// record of progress is one transaction that also checks ownership.
-inline constexpr int kJobParts = 4;
-inline constexpr const char *kFenceTable = "fences";
-inline constexpr const char *kFenceKey = "owner";
+inline constexpr int kJobPartitions = 4;
+inline constexpr const char *kFencingTokenTable = "fences";
+inline constexpr const char *kFencingTokenKey = "owner";
 inline constexpr const char *kJobTable = "jobs"; ///< What callers asked for.
 /// How far jobs are, and the cancellations once more, so that one read tells a job's state. The
 /// owner follows the other table only and is not woken by its own records.
 inline constexpr const char *kProgressTable = "progress";
 inline constexpr const char *kControlTable = "control";
 inline constexpr const char *kTermKey = "term";
-inline constexpr const char *kBeatKey = "beat";
+inline constexpr const char *kHeartbeatKey = "beat";
 
 /// Internal: rows of the control table that list the hosts a wave has maintained.
-inline constexpr std::string_view kWavePrefix = "wave/";
+inline constexpr std::string_view kMaintainedHostsPrefix = "wave/";
 
 /// Internal: the rows of one job, in the order of their keys.
 enum class JobRow : char {
@@ -39,11 +39,11 @@
 };
 
 /// Internal: returns the number of the part, from 0, in which the rows of job `id` lie.
-inline int partNumber(JobId id)
+inline int jobPartition(JobId id)
 {
-    return static_cast<int>(XXH64(&id.value, sizeof id.value, 0) % kJobParts);
+    return static_cast<int>(XXH64(&id.value, sizeof id.value, 0) % kJobPartitions);
 }
-inline std::string partName(int number)
+inline std::string jobPartitionName(int number)
 {
     return "jobs-" + std::to_string(number);
 }
--- a/src/node/tablefollower.cpp
+++ b/src/node/tablewatcher.cpp
@@ -1,4 +1,4 @@
-#include "tablefollower.h"
+#include "tablewatcher.h"
 
 #include "../daemon/log.h"
 
@@ -6,31 +6,31 @@
 
 namespace {
 
-constexpr Millis kRetry{200}; // after a call that was not answered or turned away
-constexpr Millis kReadTime{1500}; // a slow service answers after several hundred milliseconds
+constexpr Millis kRetryDelay{200}; // after a call that was not answered or turned away
+constexpr Millis kReadTimeout{1500}; // a slow service answers after several hundred milliseconds
 
 } // namespace
 
-TableFollower::TableFollower(boost::asio::io_context &io, platform::TableClient &table,
-                             Source source, Sink sink)
+TableWatcher::TableWatcher(boost::asio::io_context &io, platform::TableClient &table, Source source,
+                           UpdateHandler sink)
     : m_timer(io)
     , m_table(table)
     , m_source(std::move(source))
-    , m_sink(std::move(sink))
+    , m_onUpdate(std::move(sink))
 {}
 
-void TableFollower::start()
+void TableWatcher::start()
 {
-    readWhole();
+    readSnapshot();
 }
 
-void TableFollower::stop()
+void TableWatcher::stop()
 {
     m_isStopped = true;
     m_timer.cancel();
 }
 
-void TableFollower::again(Millis delay, void (TableFollower::*next)())
+void TableWatcher::runAfter(Millis delay, void (TableWatcher::*next)())
 {
     if (delay.count() == 0) {
         (this->*next)();
@@ -43,28 +43,28 @@
     });
 }
 
-void TableFollower::readWhole()
+void TableWatcher::readSnapshot()
 {
-    m_whole = {.rows = {}, .isWhole = true};
-    m_part = 0;
+    m_snapshot = {.rows = {}, .isSnapshot = true};
+    m_partitionIndex = 0;
     readPage({});
 }
 
-void TableFollower::readPage(const std::string &from)
+void TableWatcher::readPage(const std::string &from)
 {
-    m_table.read(m_source.table, m_source.parts[m_part], from, {}, kReadTime,
+    m_table.read(m_source.table, m_source.partitions[m_partitionIndex], from, {}, kReadTimeout,
                  [self = shared_from_this()](platform::ReadResult result) {
                      if (self->m_isStopped)
                          return;
                      if (!result.isAnswered) {
-                         self->again(kRetry, &TableFollower::readWhole);
+                         self->runAfter(kRetryDelay, &TableWatcher::readSnapshot);
                          return;
                      }
-                     Update &whole = self->m_whole;
+                     Update &whole = self->m_snapshot;
                      if (whole.version == 0) {
                          whole.version = result.version;
                          whole.clockMs = result.clockMs;
-                         whole.sent = result.sent;
+                         whole.sentAt = result.sent;
                      }
                      std::move(result.rows.begin(), result.rows.end(),
                                std::back_inserter(whole.rows));
@@ -72,21 +72,21 @@
                          self->readPage(whole.rows.back().key + " "); // the next key in byte order
                          return;
                      }
-                     if (++self->m_part < self->m_source.parts.size()) {
+                     if (++self->m_partitionIndex < self->m_source.partitions.size()) {
                          self->readPage({});
                          return;
                      }
                      self->m_version = whole.version;
-                     self->m_lastAnswered = whole.sent;
+                     self->m_lastContact = whole.sentAt;
                      const Update update = std::move(whole);
-                     self->m_sink(update);
-                     self->follow();
+                     self->m_onUpdate(update);
+                     self->watch();
                  });
 }
 
-void TableFollower::follow()
+void TableWatcher::watch()
 {
-    m_table.follow(m_source.table, m_version, m_source.wait,
+    m_table.follow(m_source.table, m_version, m_source.longPoll,
                    [self = shared_from_this()](platform::ReadResult result) {
                        if (self->m_isStopped)
                            return;
@@ -94,27 +94,27 @@
                            logWarning("table_history_gone",
                                       {{"table", self->m_source.table},
                                        {"version", std::to_string(self->m_version)}});
-                           self->readWhole();
+                           self->readSnapshot();
                            return;
                        }
                        if (!result.isAnswered) {
                            if (self->m_isReachable)
                                logWarning("table_unreachable", {{"table", self->m_source.table}});
                            self->m_isReachable = false;
-                           self->again(kRetry, &TableFollower::follow);
+                           self->runAfter(kRetryDelay, &TableWatcher::watch);
                            return;
                        }
                        if (!self->m_isReachable)
                            logInfo("table_reachable_again", {{"table", self->m_source.table}});
                        self->m_isReachable = true;
                        self->m_version = std::max(self->m_version, result.version);
-                       self->m_lastAnswered = result.sent;
-                       self->m_sink({.rows = std::move(result.rows),
-                                     .version = self->m_version,
-                                     .clockMs = result.clockMs,
-                                     .sent = result.sent});
+                       self->m_lastContact = result.sent;
+                       self->m_onUpdate({.rows = std::move(result.rows),
+                                         .version = self->m_version,
+                                         .clockMs = result.clockMs,
+                                         .sentAt = result.sent});
                        if (!self->m_isStopped)
-                           self->again(self->m_source.spacing, &TableFollower::follow);
+                           self->runAfter(self->m_source.spacing, &TableWatcher::watch);
                    });
 }
 
--- a/src/node/tablefollower.h
+++ b/src/node/tablewatcher.h
@@ -15,50 +15,50 @@
 
 /// Internal: keeps a reader up to date with one table. It reads the table whole, then follows its
 /// changes; when the history was dropped or the service forgot, it reads the table whole again.
-class TableFollower : public std::enable_shared_from_this<TableFollower>
+class TableWatcher : public std::enable_shared_from_this<TableWatcher>
 {
 public:
     struct Source
     {
         std::string table;
-        std::vector<std::string> parts;
-        Millis wait{1000}; ///< How long one call waits for a change.
+        std::vector<std::string> partitions;
+        Millis longPoll{1000}; ///< How long one call waits for a change.
         Millis spacing{0}; ///< Between two calls, to take several changes at once.
     };
     struct Update
     {
         std::vector<platform::TableRow> rows;
-        bool isWhole = false; ///< `rows` is the whole table.
+        bool isSnapshot = false; ///< `rows` is the whole table.
         std::uint64_t version = 0;
         std::int64_t clockMs = 0; ///< The table service's steady clock.
-        Instant sent; ///< When the answered call was sent.
+        Instant sentAt; ///< When the answered call was sent.
     };
-    using Sink = std::function<void(const Update &)>;
+    using UpdateHandler = std::function<void(const Update &)>;
 
-    TableFollower(boost::asio::io_context &io, platform::TableClient &table, Source source,
-                  Sink sink);
+    TableWatcher(boost::asio::io_context &io, platform::TableClient &table, Source source,
+                 UpdateHandler sink);
 
     void start();
     void stop();
     /// Returns when the last answered call was sent; the epoch before the first.
-    Instant lastAnswered() const { return m_lastAnswered; }
+    Instant lastContact() const { return m_lastContact; }
 
 private:
     void readPage(const std::string &from);
-    void follow();
-    void again(Millis delay, void (TableFollower::*next)());
-    void readWhole();
+    void watch();
+    void runAfter(Millis delay, void (TableWatcher::*next)());
+    void readSnapshot();
 
     boost::asio::steady_timer m_timer;
     platform::TableClient &m_table;
     Source m_source;
-    Sink m_sink;
+    UpdateHandler m_onUpdate;
     bool m_isStopped = false;
     bool m_isReachable = true;
-    Update m_whole;
-    std::size_t m_part = 0; ///< That is being read.
+    Update m_snapshot;
+    std::size_t m_partitionIndex = 0; ///< That is being read.
     std::uint64_t m_version = 0;
-    Instant m_lastAnswered{};
+    Instant m_lastContact{};
 };
 
 } // namespace oleanderhall
--- a/src/node/viewupdate.cpp
+++ b/src/node/viewupdate.cpp
@@ -42,34 +42,34 @@
     return term;
 }
 
-void takeReport(FleetView &view, const std::string &text)
+void applyOwnerReport(FleetView &view, const std::string &text)
 {
     try {
         const web::json::value record = web::json::value::parse(text);
         if (!record.has_field("waiting"))
             return; // of an owner that has not read the jobs yet
-        view.report.waiting.clear();
+        view.report.waitingJobs.clear();
         for (const auto &[queue, waiting] : record.at("waiting").as_object())
-            view.report.waiting[queue] = waiting.as_number().to_int64();
-        view.report.heard = bootNow();
+            view.report.waitingJobs[queue] = waiting.as_number().to_int64();
+        view.report.receivedAt = bootNow();
     } catch (const web::json::json_exception &error) {
         logWarning("report_unreadable", {{"reason", error.what()}});
     }
 }
 
-void takeMaintained(FleetView &view, const platform::TableRow &row)
+void applyMaintainedHosts(FleetView &view, const platform::TableRow &row)
 {
     try {
-        const std::int64_t wave = std::stoll(row.key.substr(kWavePrefix.size()));
+        const std::int64_t wave = std::stoll(row.key.substr(kMaintainedHostsPrefix.size()));
         const web::json::value hosts = web::json::value::parse(row.value);
         for (const auto &host : hosts.as_array())
-            view.maintained[wave].insert(HostId(host.as_string()));
+            view.maintainedHosts[wave].insert(HostId(host.as_string()));
     } catch (const std::exception &error) {
         logWarning("wave_record_unreadable", {{"key", row.key}, {"reason", error.what()}});
     }
 }
 
-void takeOperatorRow(FleetView &view, const platform::TableRow &row)
+void applyOperatorRow(FleetView &view, const platform::TableRow &row)
 {
     if (row.isDeleted)
         return;
@@ -78,7 +78,7 @@
             takeConfig(view, platform::decodeConfiguration(row.value));
         } else if (const auto wave = platform::decodeWave(row.key, row.value)) {
             view.waves[wave->number] = *wave;
-            view.waveSeen.try_emplace(wave->number, bootNow());
+            view.waveSeenAt.try_emplace(wave->number, bootNow());
         }
     } catch (const std::exception &error) {
         logWarning("operator_row_unreadable", {{"key", row.key}, {"reason", error.what()}});
--- a/src/node/viewupdate.h
+++ b/src/node/viewupdate.h
@@ -16,10 +16,10 @@
 /// Returns what the row of the term says.
 TermRecord decodeTerm(const platform::TableRow &row);
 /// Takes the owner's report, which its heartbeat carries.
-void takeReport(FleetView &view, const std::string &text);
+void applyOwnerReport(FleetView &view, const std::string &text);
 /// Takes the hosts that a wave has maintained.
-void takeMaintained(FleetView &view, const platform::TableRow &row);
+void applyMaintainedHosts(FleetView &view, const platform::TableRow &row);
 /// Takes a row that operators wrote: the configuration, unless an older one, or a wave.
-void takeOperatorRow(FleetView &view, const platform::TableRow &row);
+void applyOperatorRow(FleetView &view, const platform::TableRow &row);
 
 } // namespace oleanderhall
--- a/tests/daemon/nodesettings_test.cpp
+++ b/tests/daemon/nodesettings_test.cpp
@@ -47,10 +47,10 @@
     const auto settings = parseFile(kWhole);
     REQUIRE(settings);
     CHECK(settings->id.name() == "edge-1");
-    CHECK(settings->callers.port == 8624);
-    CHECK(settings->stopTime == Millis(300));
-    CHECK(settings->stopLimit == Millis(5500));
-    CHECK(settings->hosts.empty());
+    CHECK(settings->callerAddress.port == 8624);
+    CHECK(settings->taskStopTimeout == Millis(300));
+    CHECK(settings->shutdownTimeout == Millis(5500));
+    CHECK(settings->hostServiceAddress.empty());
 }
 
 TEST_CASE_METHOD(NodeSettingsTest, "NodeSettings_faultyFile_isTurnedDown", "[settings]")
