--- a/apps/oleanderhallfleetd.cpp
+++ b/apps/oleanderhallfleetd.cpp
@@ -1,4 +1,4 @@
-// The fleet node's daemon on the users' platform. See docs/operators/settings.md.
+// Daemon of a fleet node. The settings are described in docs/operators/settings.md.
 #include "../src/node/fleetnode.h"
 
 #include <iostream>
--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -34,12 +34,13 @@
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
 constexpr int kOutcomeUnknown = 504;
-constexpr Millis kRetryAfter{1000}; // when the table or the configuration is expected back
-/// One call to the table. A slow service answers after several hundred milliseconds.
+constexpr Millis kRetryAfter{1000}; // while the table or the configuration is missing
+// Of one call to the table; a slow service takes several hundred milliseconds.
 constexpr Millis kTableTimeout{700};
-constexpr int kCancelTries = 3; // within a caller's usual 3 s
-constexpr Millis kMaxSubmitTime{2200}; // to store a job, when the caller names no time limit
-constexpr Millis kAnswerReserve{60}; // of a caller's time limit, for the way back
+constexpr int kCancelTries = 3; // fit into a caller's usual time limit of 3 s
+// Time to store a job; also the default when the caller sets no time limit.
+constexpr Millis kMaxSubmitTime{2200};
+constexpr Millis kAnswerReserve{60}; // of a caller's time limit, for the transfer of the answer
 constexpr Millis kRetryDelay{100};
 constexpr Millis kMaxReportAge{2500}; // the owner reports twice a second
 
@@ -49,7 +50,7 @@
     std::uint64_t version = 0;
 };
 
-Instant latestAnswer(const HttpRequest &request, Instant now)
+Instant answerDeadline(const HttpRequest &request, Instant now)
 {
     const auto limit = request[platform::kTimeLimitHeader];
     std::int64_t milliseconds = 0;
@@ -90,16 +91,16 @@
     , m_view(view)
     , m_metrics(metrics)
 {
-    for (int part = 0; part < kJobPartitions; ++part)
-        m_writers.push_back(std::make_unique<JobWriter>(io, table, jobPartitionName(part)));
+    for (int partition = 0; partition < kJobPartitions; ++partition)
+        m_writers.push_back(std::make_unique<JobWriter>(io, table, jobPartitionName(partition)));
 }
 
-Reply CallerApi::refuse(int status, const char *reason, std::optional<Millis> comeBack)
+Reply CallerApi::refuse(int status, const char *reason, std::optional<Millis> retryAfter)
 {
     m_metrics.count(std::string("job_refusals_") + reason + "_total");
     Reply reply{.status = status, .headers = {{"Content-Type", "application/problem+json"}}};
-    if (comeBack) {
-        const auto seconds = (*comeBack + Millis(999)) / Millis(1000);
+    if (retryAfter) {
+        const auto seconds = (*retryAfter + Millis(999)) / Millis(1000);
         reply.headers.emplace_back("Retry-After", std::to_string(seconds));
     }
     reply.body = std::string(R"({"reason":")") + reason + "\"}";
@@ -125,7 +126,7 @@
     if (!queue)
         co_return refuse(kNotFound, "no_such_queue", std::nullopt);
     Target target{*queue, m_view.config->version, path.substr(queue->prefix.size()),
-                  latestAnswer(request, bootNow())};
+                  answerDeadline(request, bootNow())};
     const auto method = request.method();
     if (target.jobId.empty()) {
         if (method == boost::beast::http::verb::get)
@@ -193,7 +194,7 @@
         co_return refuse(kUnavailable, "table_unreachable", kRetryAfter);
     }
     job.acceptedMs = m_view.tableTime(bootNow());
-    // Where nothing waits the job starts at once; a job that has to wait is released in its turn.
+    // Without waiting jobs this one may start at once; otherwise the owner releases it in its turn.
     const auto waiting = m_view.report.waitingJobs.find(target.queue.name);
     job.isReleased = waiting == m_view.report.waitingJobs.end() || waiting->second == 0;
     auto shot = std::make_shared<OneShot<Stored>>(m_io.get_executor());
@@ -201,7 +202,7 @@
         job, target.deadline, [shot](StoreOutcome outcome, std::uint64_t version) {
             shot->set({outcome, version});
         });
-    constexpr Millis kSlack{500}; // the writer answers in time by itself
+    constexpr Millis kSlack{500}; // the writer itself answers at the deadline
     const std::optional<Stored> stored = co_await shot->wait(
         std::chrono::steady_clock::now() + (target.deadline - bootNow()) + kSlack);
     const StoreOutcome outcome = stored ? stored->outcome : StoreOutcome::Unknown;
@@ -220,7 +221,7 @@
     logWarning(
         "job_refused",
         {{"job", textOf(id)}, {"reason", mayBeStored ? "outcome_unknown" : "table_refused"}});
-    // Only a job that can't have been stored may be refused.
+    // A job that may have been stored must not be answered as refused.
     if (mayBeStored)
         co_return refuse(kOutcomeUnknown, "outcome_unknown", std::nullopt);
     const Millis expected = m_writers[static_cast<std::size_t>(jobPartition(id))]->expectedDelay(
--- a/src/node/callerapi.h
+++ b/src/node/callerapi.h
@@ -15,14 +15,16 @@
 
 class Metrics;
 
-/// Internal: answers callers: takes jobs, tells their state, cancels them. It keeps nothing: a job
-/// is accepted when its rows are written, and its state is read from them.
+/// Internal: the callers' HTTP interface: accepts jobs, returns their state and cancels them. It
+/// holds no state of jobs: a job is accepted once its rows are stored, and its state is read from
+/// them.
 class CallerApi
 {
 public:
     CallerApi(boost::asio::io_context &io, platform::TableClient &table, const FleetView &view,
               Metrics &metrics);
 
+    /// Answers one request; refusals name their reason in the body.
     boost::asio::awaitable<Reply> answer(HttpRequest &request);
 
 private:
@@ -31,8 +33,8 @@
     {
         QueueRule queue;
         ConfigVersion config;
-        std::string jobId; ///< Of the path, behind the queue's prefix.
-        Instant deadline; ///< When the caller stops to wait.
+        std::string jobId; ///< The path behind the queue's prefix; empty for the queue itself.
+        Instant deadline; ///< Of the answer, somewhat before the caller's own time limit.
     };
 
     boost::asio::awaitable<Reply> submit(Target target, JobId id, std::string body);
@@ -41,7 +43,7 @@
     Reply waitingCount(const Target &target);
     boost::asio::awaitable<platform::TransactionResult> transact(platform::Transaction transaction);
     boost::asio::awaitable<platform::ReadResult> readJob(JobId id);
-    Reply refuse(int status, const char *reason, std::optional<Millis> comeBack);
+    Reply refuse(int status, const char *reason, std::optional<Millis> retryAfter);
 
     boost::asio::io_context &m_io;
     platform::TableClient &m_table;
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -33,19 +33,20 @@
 namespace {
 
 constexpr Millis kControlLongPoll{1000};
-constexpr Millis kOperatorLongPoll{
-    1200}; // a silent connection is found in time for the next version
-constexpr Millis kControlTimeout{1500}; // for a renewal or hand-over; the lease is 2 s
-/// For a take-over. One that is given up early stays in a slow table's queue, before the next try.
+// Short enough to detect a silently broken connection before the next version.
+constexpr Millis kOperatorLongPoll{1200};
+constexpr Millis kControlTimeout{1500}; // of a renewal or hand-over; the ownership lease is 2 s
+// Of a take-over. An abandoned one stays in a slow table's queue, ahead of the next attempt.
 constexpr Millis kTakeOverTimeout{2500};
 constexpr Millis kOwnershipCheckInterval{50};
 constexpr int kMaxJitterMs = 300;
-constexpr Millis kUnreadyNotice{2300}; // the balancer asks once a second and needs two misses
-constexpr Millis kShutdownReserve{800}; // before the platform kills the process
+// The load balancer probes once a second and reacts to the second failure.
+constexpr Millis kUnreadyNotice{2300};
+constexpr Millis kShutdownReserve{800}; // left before the platform kills the process
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 constexpr int kNotFound = 404;
-constexpr long kTrimThreshold = 256L << 10; // bytes of free heap that are given back
+constexpr long kTrimThreshold = 256L << 10; // bytes of free heap that are returned to the system
 
 CallerLimits callerLimits()
 {
@@ -183,19 +184,19 @@
     {
         recordContact(update);
         TermRecord term = m_ownership.term();
-        std::uint64_t beat = m_ownership.beatVersion();
+        std::uint64_t heartbeat = m_ownership.beatVersion();
         for (const platform::TableRow &row : update.rows) {
             if (row.key == kTermKey && row.version >= term.version)
                 term = decodeTerm(row);
-            if (row.key == kHeartbeatKey && row.version >= beat) {
-                beat = row.version;
+            if (row.key == kHeartbeatKey && row.version >= heartbeat) {
+                heartbeat = row.version;
                 applyOwnerReport(m_view, row.value);
             }
             if (row.key.starts_with(kMaintainedHostsPrefix))
                 applyMaintainedHosts(m_view, row);
         }
         const bool wasOwner = m_ownership.isOwner();
-        m_ownership.seen(term, beat, bootNow());
+        m_ownership.seen(term, heartbeat, bootNow());
         if (wasOwner && !m_ownership.isOwner())
             endTerm();
     }
@@ -227,8 +228,8 @@
             break;
         }
         m_ownershipTimer.expires_after(kOwnershipCheckInterval);
-        m_ownershipTimer.async_wait([this](const boost::system::error_code &failed) {
-            if (!failed)
+        m_ownershipTimer.async_wait([this](const boost::system::error_code &error) {
+            if (!error)
                 checkOwnership();
         });
     }
@@ -245,9 +246,9 @@
                                                   .processorShare = m_settings.processorShare})});
         transaction.writes.push_back({kControlTable, kHeartbeatKey, "{}"});
         m_table.transact(
-            transaction, kTakeOverTimeout, [this](const platform::TransactionResult &r) {
-                const bool isDone = r.outcome == platform::TransactionResult::Outcome::Done;
-                m_ownership.takeOverAnswered(isDone, r.version, r.sent, bootNow());
+            transaction, kTakeOverTimeout, [this](const platform::TransactionResult &response) {
+                const bool isDone = response.outcome == platform::TransactionResult::Outcome::Done;
+                m_ownership.takeOverAnswered(isDone, response.version, response.sent, bootNow());
                 if (!isDone || m_isShuttingDown)
                     return;
                 m_metrics.count("ownership_taken_total");
@@ -275,11 +276,11 @@
         transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
         transaction.writes.push_back({kControlTable, kHeartbeatKey, encodeReport()});
         m_table.transact(transaction, kControlTimeout,
-                         [this](const platform::TransactionResult &r) {
+                         [this](const platform::TransactionResult &response) {
                              using Outcome = platform::TransactionResult::Outcome;
-                             m_ownership.renewAnswered(r.outcome == Outcome::Done,
-                                                       r.outcome == Outcome::Conflict, r.version,
-                                                       r.sent, bootNow());
+                             m_ownership.renewAnswered(response.outcome == Outcome::Done,
+                                                       response.outcome == Outcome::Conflict,
+                                                       response.version, response.sent, bootNow());
                              if (!m_ownership.isOwner())
                                  endTerm();
                          });
@@ -295,12 +296,11 @@
 
     void waitForSignal()
     {
-        m_signals.async_wait([this](const boost::system::error_code &failed, int signal) {
-            if (failed)
+        m_signals.async_wait([this](const boost::system::error_code &error, int signal) {
+            if (error)
                 return;
             if (signal == SIGHUP) {
-                logInfo("settings_reload",
-                        {{"effect", "none of the settings changes while running"}});
+                logInfo("settings_reload", {{"effect", "none: settings are read only at startup"}});
                 waitForSignal();
                 return;
             }
@@ -308,7 +308,8 @@
         });
     }
 
-    /// Not ready first, hands ownership over, answers what still comes, then ends.
+    /// Reports not ready and hands ownership over. Serves callers until the load balancer has
+    /// noticed, then finishes the open requests and ends.
     void beginShutdown()
     {
         logInfo("stopping", {{"owner", m_ownership.isOwner() ? "true" : "false"}});
--- a/src/node/fleetowner.cpp
+++ b/src/node/fleetowner.cpp
@@ -17,8 +17,9 @@
 
 namespace {
 
-constexpr Millis kRecordTimeout{2500}; // a slow table takes several hundred milliseconds for each
-constexpr Millis kStepDelay{2}; // events that arrive together are decided together
+// A slow table needs several hundred milliseconds for each transaction.
+constexpr Millis kProgressWriteTimeout{2500};
+constexpr Millis kStepDelay{2}; // one scheduling step handles all events of this period
 
 SchedulerSettings schedulerSettings(const NodeSettings &settings)
 {
@@ -60,8 +61,8 @@
     viewChanged();
     m_tokenRowVersions.resize(kJobPartitions);
     m_partitionsToRead = kJobPartitions;
-    for (int part = 0; part < kJobPartitions; ++part)
-        fencePartition(part);
+    for (int partition = 0; partition < kJobPartitions; ++partition)
+        fencePartition(partition);
     readWorkerList();
     if (!m_settings.hostServiceAddress.empty()) {
         m_hostController = std::make_shared<HostController>(m_io, m_settings, m_table, m_ownership,
@@ -108,9 +109,9 @@
         return;
     m_isStepScheduled = true;
     m_stepTimer.expires_after(kStepDelay);
-    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &failed) {
+    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto self = weak.lock();
-        if (failed || !self || self->m_isStopped)
+        if (error || !self || self->m_isStopped)
             return;
         self->step();
     });
@@ -132,9 +133,9 @@
         return;
     const Instant next = m_scheduler.nextTick(now);
     m_stepTimer.expires_after(std::max<Instant::duration>(next - now, kStepDelay));
-    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &failed) {
+    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto self = weak.lock();
-        if (!failed && self && !self->m_isStopped)
+        if (!error && self && !self->m_isStopped)
             self->step();
     });
 }
@@ -152,79 +153,80 @@
 void FleetOwner::dispatch(std::vector<SchedulerAction> &actions)
 {
     for (const SchedulerAction &action : actions)
-        std::visit([this](const auto &order) { send(order); }, action);
+        std::visit([this](const auto &request) { send(request); }, action);
 }
 
-void FleetOwner::send(const StartOrder &order)
+void FleetOwner::send(const StartOrder &command)
 {
     m_workerClient.start(
-        addressOf(order.worker), order, [weak = weak_from_this(), order](CallResult result) {
+        addressOf(command.worker), command, [weak = weak_from_this(), command](CallResult result) {
             const auto self = weak.lock();
             if (!self || self->m_isStopped)
                 return;
             self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
-            self->m_scheduler.startAnswered(order, result, bootNow());
+            self->m_scheduler.startAnswered(command, result, bootNow());
             self->scheduleStep();
         });
 }
 
-void FleetOwner::send(const StopOrder &order)
+void FleetOwner::send(const StopOrder &command)
 {
     m_workerClient.stop(
-        addressOf(order.worker), order, [weak = weak_from_this(), order](CallResult result) {
+        addressOf(command.worker), command, [weak = weak_from_this(), command](CallResult result) {
             const auto self = weak.lock();
             if (!self || self->m_isStopped)
                 return;
             self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
-            self->m_scheduler.stopAnswered(order, result, bootNow());
+            self->m_scheduler.stopAnswered(command, result, bootNow());
             self->scheduleStep();
         });
 }
 
-void FleetOwner::send(const PaceOrder &order)
+void FleetOwner::send(const PaceOrder &command)
 {
-    m_workerClient.pace(addressOf(order.worker), order,
-                        [weak = weak_from_this(), order](CallResult result) {
+    m_workerClient.pace(addressOf(command.worker), command,
+                        [weak = weak_from_this(), command](CallResult result) {
                             const auto self = weak.lock();
                             if (!self || self->m_isStopped)
                                 return;
-                            self->m_scheduler.paceAnswered(order, result, bootNow());
+                            self->m_scheduler.paceAnswered(command, result, bootNow());
                             self->scheduleStep();
                         });
 }
 
-void FleetOwner::send(const LookOrder &order)
+void FleetOwner::send(const LookOrder &request)
 {
     m_workerClient.look(
-        addressOf(order.worker), order,
-        [weak = weak_from_this(), order](CallResult result, const WorkerLook &look, Instant sent) {
+        addressOf(request.worker), request,
+        [weak = weak_from_this(), request](CallResult result, const WorkerLook &status,
+                                           Instant sentAt) {
             const auto self = weak.lock();
             if (!self || self->m_isStopped)
                 return;
             self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
-            self->m_scheduler.lookAnswered(order, result, look, sent, bootNow());
+            self->m_scheduler.lookAnswered(request, result, status, sentAt, bootNow());
             self->scheduleStep();
         });
 }
 
-void FleetOwner::send(const AdviceOrder &order)
+void FleetOwner::send(const AdviceOrder &request)
 {
     if (!m_adviceClient)
         return;
-    m_adviceClient->ask(order,
+    m_adviceClient->ask(request,
                         [weak = weak_from_this(),
-                         order](const std::optional<platform::AdviceClient::Tickets> &tickets) {
+                         request](const std::optional<platform::AdviceClient::Tickets> &tickets) {
                             const auto self = weak.lock();
                             if (!self || self->m_isStopped)
                                 return;
                             self->m_scheduler.adviceAnswered(
-                                order, tickets.has_value(),
+                                request, tickets.has_value(),
                                 tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
                             self->scheduleStep();
                         });
 }
 
-void FleetOwner::send(const RecordOrder &order)
+void FleetOwner::send(const RecordOrder &write)
 {
     struct Batch
     {
@@ -233,53 +235,53 @@
     };
     std::map<int, Batch> batches;
     const auto batchOf = [&](JobId id) -> Batch & {
-        const int part = jobPartition(id);
-        Batch &batch = batches[part];
+        const int partition = jobPartition(id);
+        Batch &batch = batches[partition];
         if (batch.transaction.part.empty()) {
-            batch.transaction.part = jobPartitionName(part);
+            batch.transaction.part = jobPartitionName(partition);
             batch.transaction.expected.push_back(
                 {kFencingTokenTable, kFencingTokenKey,
-                 m_tokenRowVersions[static_cast<std::size_t>(part)]});
+                 m_tokenRowVersions[static_cast<std::size_t>(partition)]});
         }
         return batch;
     };
-    for (const JobProgress &update : order.updates) {
+    for (const JobProgress &update : write.updates) {
         Batch &batch = batchOf(update.id);
         const std::string key = jobKey(update.id, JobRow::Progress);
-        // A write that lands late must not undo a newer one.
+        // The expected version prevents a delayed write from overwriting a newer one.
         batch.transaction.expected.push_back({kProgressTable, key, m_progressVersions[update.id]});
         batch.transaction.writes.push_back({kProgressTable, key, encodeProgress(update)});
         if (isFinal(update.state))
             batch.transaction.drops.push_back({kJobTable, jobKey(update.id, JobRow::Spec), {}});
         batch.updates.push_back(update);
     }
-    for (const JobId id : order.dropped) {
+    for (const JobId id : write.dropped) {
         auto &drops = batchOf(id).transaction.drops;
         drops.push_back({kJobTable, jobKey(id, JobRow::Cancel), {}});
         drops.push_back({kProgressTable, jobKey(id, JobRow::Cancel), {}});
         drops.push_back({kProgressTable, jobKey(id, JobRow::Progress), {}});
     }
-    m_recordsInFlight = static_cast<int>(batches.size());
-    m_areRecordsStored = true;
-    for (auto &[part, batch] : batches) {
-        m_table.transact(batch.transaction, kRecordTimeout,
-                         [weak = weak_from_this(), part = part, updates = std::move(batch.updates),
-                          number = order.batch](const platform::TransactionResult &result) {
-                             const auto self = weak.lock();
-                             if (!self || self->m_isStopped)
-                                 return;
-                             self->onRecordAnswered(part, updates, result);
-                             if (--self->m_recordsInFlight > 0)
-                                 return;
-                             self->m_scheduler.recordAnswered(number, self->m_areRecordsStored,
-                                                              bootNow());
-                             self->scheduleStep();
-                         });
+    m_writesInFlight = static_cast<int>(batches.size());
+    m_haveWritesSucceeded = true;
+    for (auto &[partition, batch] : batches) {
+        m_table.transact(
+            batch.transaction, kProgressWriteTimeout,
+            [weak = weak_from_this(), partition = partition, updates = std::move(batch.updates),
+             number = write.batch](const platform::TransactionResult &result) {
+                const auto self = weak.lock();
+                if (!self || self->m_isStopped)
+                    return;
+                self->onProgressWritten(partition, updates, result);
+                if (--self->m_writesInFlight > 0)
+                    return;
+                self->m_scheduler.recordAnswered(number, self->m_haveWritesSucceeded, bootNow());
+                self->scheduleStep();
+            });
     }
 }
 
-void FleetOwner::onRecordAnswered(int part, const std::vector<JobProgress> &updates,
-                                  const platform::TransactionResult &result)
+void FleetOwner::onProgressWritten(int partition, const std::vector<JobProgress> &updates,
+                                   const platform::TransactionResult &result)
 {
     using Outcome = platform::TransactionResult::Outcome;
     if (result.outcome == Outcome::Done) {
@@ -287,12 +289,12 @@
             m_progressVersions[update.id] = result.version;
         return;
     }
-    m_areRecordsStored = false;
+    m_haveWritesSucceeded = false;
     if (result.outcome == Outcome::Conflict) {
         bool isOurs = false;
         for (const platform::TableRow &row : result.rows) {
             if (row.table == kFencingTokenTable)
-                isOurs = row.version == m_tokenRowVersions[static_cast<std::size_t>(part)];
+                isOurs = row.version == m_tokenRowVersions[static_cast<std::size_t>(partition)];
             if (const auto key = parseJobKey(row.key); key && key->row == JobRow::Progress)
                 m_progressVersions[key->id] = row.version;
         }
@@ -300,7 +302,7 @@
     }
     m_metrics.count("record_retries_total");
     logWarning("record_not_confirmed",
-               {{"part", std::to_string(part)},
+               {{"part", std::to_string(partition)},
                 {"jobs", std::to_string(updates.size())},
                 {"conflict", result.outcome == Outcome::Conflict ? "true" : "false"}});
 }
--- a/src/node/fleetowner.h
+++ b/src/node/fleetowner.h
@@ -23,8 +23,9 @@
 
 class Metrics;
 
-/// Internal: one term of ownership: loads the jobs, feeds the Scheduler with what happens and
-/// carries out its orders. It is made at a take-over and stopped when ownership ends.
+/// Internal: the work of the fleet's owner during one term. Loads the jobs and the list of workers,
+/// passes events to the Scheduler and executes the actions that it returns. An object is created at
+/// a take-over and stopped when the term ends.
 class FleetOwner : public std::enable_shared_from_this<FleetOwner>
 {
 public:
@@ -33,34 +34,36 @@
                Metrics &metrics);
     ~FleetOwner();
 
+    /// Begins to load the jobs and workers; the Scheduler runs once both are loaded.
     void start();
+    /// Ends all work of this term; answers that arrive later are ignored.
     void stop();
-    /// Takes a change of the configuration or of the waves.
+    /// Must be called after the configuration or the waves of the FleetView have changed.
     void viewChanged();
-    /// Returns how many jobs of each queue wait; empty until the jobs are loaded.
+    /// Returns the number of waiting jobs of each queue; empty until the jobs are loaded.
     std::vector<QueueLoad> loadByQueue() const;
     bool isLoaded() const { return m_isLoaded; }
-    /// Returns whether another owner's token was met.
+    /// Returns whether a row or a worker has shown that another process took ownership over.
     bool isSuperseded() const { return m_isSuperseded; }
 
 private:
-    void fencePartition(int part);
-    void writeFencingToken(int part, std::uint64_t knownVersion);
-    void readProgress(int part, const std::string &from);
+    void fencePartition(int partition);
+    void writeFencingToken(int partition, std::uint64_t knownVersion);
+    void readProgress(int partition, const std::string &from);
     void applyProgress(const platform::ReadResult &result);
     void watchJobs();
     void applyJobs(const TableWatcher::Update &update);
     void applyWorkerList(const platform::ReadResult &result);
     void readWorkerList();
     void dispatch(std::vector<SchedulerAction> &actions);
-    void send(const StartOrder &order);
-    void send(const StopOrder &order);
-    void send(const PaceOrder &order);
-    void send(const LookOrder &order);
-    void send(const AdviceOrder &order);
-    void send(const RecordOrder &order);
-    void onRecordAnswered(int part, const std::vector<JobProgress> &updates,
-                          const platform::TransactionResult &result);
+    void send(const StartOrder &command);
+    void send(const StopOrder &command);
+    void send(const PaceOrder &command);
+    void send(const LookOrder &request);
+    void send(const AdviceOrder &request);
+    void send(const RecordOrder &write);
+    void onProgressWritten(int partition, const std::vector<JobProgress> &updates,
+                           const platform::TransactionResult &result);
     void scheduleStep();
     void step();
     void logDecisions();
@@ -79,12 +82,13 @@
     std::shared_ptr<HostController> m_hostController;
     std::shared_ptr<TableWatcher> m_jobWatcher;
     std::map<JobId, JobProgress>
-        m_inheritedProgress; ///< Read at the take-over, until the jobs are.
-    std::vector<std::uint64_t> m_tokenRowVersions; ///< Versions of the owner's rows, by part.
+        m_inheritedProgress; ///< Read at the take-over, held until the jobs are loaded.
+    std::vector<std::uint64_t>
+        m_tokenRowVersions; ///< Versions of the fencing token rows, by partition.
     int m_partitionsToRead = 0;
-    int m_recordsInFlight = 0;
-    bool m_areRecordsStored = true;
-    std::map<JobId, std::uint64_t> m_progressVersions;
+    int m_writesInFlight = 0;
+    bool m_haveWritesSucceeded = true;
+    std::map<JobId, std::uint64_t> m_progressVersions; ///< Expected by the next progress write.
     boost::asio::steady_timer m_stepTimer;
     boost::asio::steady_timer m_workerListTimer;
     bool m_isStepScheduled = false;
--- a/src/node/fleetownerloading.cpp
+++ b/src/node/fleetownerloading.cpp
@@ -1,4 +1,4 @@
-// How an owner learns of jobs and workers.
+// Loading of a FleetOwner: takes the partitions over and reads jobs and workers.
 #include "fleetowner.h"
 
 #include "storednames.h"
@@ -16,73 +16,75 @@
 
 namespace {
 
-constexpr Millis kWorkerListInterval{700}; // a draining worker gets no task 2 s after it says so
-constexpr Millis kShortWorkerListInterval{100}; // while hosts are on their way into a pool
+// A draining worker must get no new task from 2 s after it has reported that it drains.
+constexpr Millis kWorkerListInterval{700};
+constexpr Millis kShortWorkerListInterval{100}; // while hosts are moved or maintained
 constexpr Millis kReadTimeout{1500};
 constexpr Millis kFencingTimeout{2500};
 constexpr Millis kJobLongPoll{1000};
-constexpr Millis kJobPollSpacing{20}; // jobs that arrive together are read together
+constexpr Millis kJobPollSpacing{20}; // one poll returns all jobs that were stored in this period
 
 } // namespace
 
-/// Puts this owner's token into the part, so that no earlier owner can record there any more.
-void FleetOwner::fencePartition(int part)
+/// Writes this owner's fencing token into the partition, after which writes of earlier owners fail.
+void FleetOwner::fencePartition(int partition)
 {
-    m_table.read(kFencingTokenTable, jobPartitionName(part), "", "", kReadTimeout,
-                 [weak = weak_from_this(), part](const platform::ReadResult &result) {
-                     const auto self = weak.lock();
-                     if (!self || self->m_isStopped)
-                         return;
-                     if (!result.isAnswered) {
-                         self->fencePartition(part); // a call takes its time even when it fails
-                         return;
-                     }
-                     std::uint64_t version = 0;
-                     for (const platform::TableRow &row : result.rows) {
-                         version = row.version;
-                         const auto token = std::strtoull(row.value.c_str(), nullptr, 10);
-                         self->m_isSuperseded = self->m_isSuperseded
-                             || token > self->m_term.version;
-                     }
-                     if (!self->m_isSuperseded)
-                         self->writeFencingToken(part, version);
-                 });
+    m_table.read(
+        kFencingTokenTable, jobPartitionName(partition), "", "", kReadTimeout,
+        [weak = weak_from_this(), partition](const platform::ReadResult &result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            if (!result.isAnswered) {
+                self->fencePartition(partition); // no delay: a failed call has used up its timeout
+                return;
+            }
+            std::uint64_t version = 0;
+            for (const platform::TableRow &row : result.rows) {
+                version = row.version;
+                const auto token = std::strtoull(row.value.c_str(), nullptr, 10);
+                self->m_isSuperseded = self->m_isSuperseded || token > self->m_term.version;
+            }
+            if (!self->m_isSuperseded)
+                self->writeFencingToken(partition, version);
+        });
 }
 
-void FleetOwner::writeFencingToken(int part, std::uint64_t knownVersion)
+void FleetOwner::writeFencingToken(int partition, std::uint64_t knownVersion)
 {
-    platform::Transaction transaction{.part = jobPartitionName(part)};
+    platform::Transaction transaction{.part = jobPartitionName(partition)};
     transaction.expected.push_back({kFencingTokenTable, kFencingTokenKey, knownVersion});
     transaction.writes.push_back(
         {kFencingTokenTable, kFencingTokenKey, std::to_string(m_term.version)});
-    m_table.transact(transaction, kFencingTimeout,
-                     [weak = weak_from_this(), part](const platform::TransactionResult &result) {
-                         const auto self = weak.lock();
-                         if (!self || self->m_isStopped)
-                             return;
-                         if (result.outcome != platform::TransactionResult::Outcome::Done) {
-                             self->fencePartition(part);
-                             return;
-                         }
-                         self->m_tokenRowVersions[static_cast<std::size_t>(part)] = result.version;
-                         self->readProgress(part, "");
-                     });
+    m_table.transact(
+        transaction, kFencingTimeout,
+        [weak = weak_from_this(), partition](const platform::TransactionResult &result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            if (result.outcome != platform::TransactionResult::Outcome::Done) {
+                self->fencePartition(partition);
+                return;
+            }
+            self->m_tokenRowVersions[static_cast<std::size_t>(partition)] = result.version;
+            self->readProgress(partition, "");
+        });
 }
 
-void FleetOwner::readProgress(int part, const std::string &from)
+void FleetOwner::readProgress(int partition, const std::string &from)
 {
-    m_table.read(kProgressTable, jobPartitionName(part), from, "", kReadTimeout,
-                 [weak = weak_from_this(), part, from](const platform::ReadResult &result) {
+    m_table.read(kProgressTable, jobPartitionName(partition), from, "", kReadTimeout,
+                 [weak = weak_from_this(), partition, from](const platform::ReadResult &result) {
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
                      if (!result.isAnswered) {
-                         self->readProgress(part, from);
+                         self->readProgress(partition, from);
                          return;
                      }
                      self->applyProgress(result);
                      if (result.hasMore && !result.rows.empty())
-                         self->readProgress(part, result.rows.back().key + " ");
+                         self->readProgress(partition, result.rows.back().key + " ");
                      else if (--self->m_partitionsToRead == 0)
                          self->watchJobs();
                  });
@@ -106,8 +108,8 @@
 {
     TableWatcher::Source source{
         .table = kJobTable, .longPoll = kJobLongPoll, .spacing = kJobPollSpacing};
-    for (int part = 0; part < kJobPartitions; ++part)
-        source.partitions.push_back(jobPartitionName(part));
+    for (int partition = 0; partition < kJobPartitions; ++partition)
+        source.partitions.push_back(jobPartitionName(partition));
     m_jobWatcher = std::make_shared<TableWatcher>(
         m_io, m_table, std::move(source),
         [weak = weak_from_this()](const TableWatcher::Update &update) {
@@ -137,7 +139,7 @@
         }
         const Millis age(std::max<std::int64_t>(0, update.clockMs - spec->acceptedMs));
         const auto known = m_inheritedProgress.find(key->id);
-        // Both rows of a job are written together, so its progress row has the same version.
+        // One transaction writes both rows of a new job, so its progress row has this version.
         m_progressVersions.try_emplace(key->id, row.version);
         const JobProgress progress = known == m_inheritedProgress.end()
             ? JobProgress{.id = key->id, .isReleased = spec->isReleased}
@@ -145,7 +147,7 @@
         m_scheduler.accept(std::move(*spec), progress, isFirst, now - age);
         m_inheritedProgress.erase(key->id);
     }
-    // Ended jobs have no spec any more; they are kept until their state need not be told.
+    // The spec of an ended job is deleted; its progress row stays until the state has expired.
     for (const auto &[id, record] : m_inheritedProgress) {
         if (isFinal(record.state))
             m_scheduler.accept({.id = id, .acceptedMs = record.acceptedMs}, record, true, now);
@@ -170,10 +172,10 @@
                              ? kShortWorkerListInterval
                              : kWorkerListInterval);
                      self->m_workerListTimer.async_wait(
-                         [weak](const boost::system::error_code &failed) {
-                             const auto again = weak.lock();
-                             if (!failed && again && !again->m_isStopped)
-                                 again->readWorkerList();
+                         [weak](const boost::system::error_code &error) {
+                             const auto strong = weak.lock();
+                             if (!error && strong && !strong->m_isStopped)
+                                 strong->readWorkerList();
                          });
                  });
 }
@@ -181,13 +183,14 @@
 void FleetOwner::applyWorkerList(const platform::ReadResult &result)
 {
     if (!result.isAnswered)
-        return; // the last list stays; a worker that is gone does not answer
+        return; // the last list stays in use; calls to workers that have left it fail
     std::vector<WorkerReport> workers;
     for (const platform::TableRow &row : result.rows) {
         try {
             workers.push_back(platform::decodeWorker(row.key, row.value));
-        } catch (const std::exception &error) {
-            logWarning("worker_entry_unreadable", {{"key", row.key}, {"reason", error.what()}});
+        } catch (const std::exception &decodeError) {
+            logWarning("worker_entry_unreadable",
+                       {{"key", row.key}, {"reason", decodeError.what()}});
         }
     }
     m_scheduler.listWorkers(workers, bootNow());
--- a/src/node/fleetview.h
+++ b/src/node/fleetview.h
@@ -12,35 +12,36 @@
 
 namespace oleanderhall {
 
-/// Internal: what every node knows of the fleet from the table: the configuration in force, the
-/// requested waves and the owner's latest report.
+/// Internal: a node's copy of the fleet's state in the table service: the configuration in force,
+/// the requested maintenance waves and the owner's latest report.
 struct FleetView
 {
     struct OwnerReport
     {
-        std::map<std::string, std::int64_t> waitingJobs; ///< By queue's name.
+        std::map<std::string, std::int64_t> waitingJobs; ///< Number of waiting jobs, by queue.
         Instant receivedAt;
     };
 
     std::optional<FleetConfig> config;
     std::map<std::int64_t, Wave> waves;
-    std::map<std::int64_t, Instant> waveSeenAt;
-    /// Hosts that owners have recorded as maintained, by wave.
+    std::map<std::int64_t, Instant> waveSeenAt; ///< When this node first read the wave.
+    /// Hosts that an owner has recorded as maintained, by wave.
     std::map<std::int64_t, std::set<HostId>> maintainedHosts;
     OwnerReport report;
     Instant lastContact{}; ///< When the last answered call to the table was sent.
 
-    std::int64_t
-        tableClockMs = 0; ///< The table's steady clock at `lastContact`, or a little later.
+    /// The table's steady clock at `lastContact`, or a little later.
+    std::int64_t tableClockMs = 0;
 
-    /// Returns the time on the table's steady clock, exact to a call's travel time.
+    /// Returns the time on the table's steady clock in milliseconds. The error is at most the
+    /// duration of the last call.
     std::int64_t tableTime(Instant now) const
     {
         return tableClockMs + std::chrono::duration_cast<Millis>(now - lastContact).count();
     }
 
-    /// How old the last contact may be before the table counts as out of reach: two waits of one
-    /// second each, and a slow answer.
+    /// The table counts as unreachable when the last contact is older: two long polls of one second
+    /// each, and a slow answer.
     static constexpr Millis kContactTimeout{2500};
 
     bool isTableReachable(Instant now) const { return now - lastContact < kContactTimeout; }
--- a/src/node/hostcontroller.cpp
+++ b/src/node/hostcontroller.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 constexpr Millis kHostListInterval{1500};
-constexpr Millis kShortHostListInterval{300}; // while hosts move or are maintained
+constexpr Millis kShortHostListInterval{300}; // while hosts are moved or maintained
 constexpr Millis kPlanInterval{60};
 constexpr Millis kRecordInterval{300};
 constexpr Millis kTableTimeout{1500};
-constexpr Millis kOrderRecordTimeout{700}; // an order that is later than this is planned anew
-constexpr Millis kOrderPauseMargin{200};
-constexpr const char *kHostOrdersKey = "host-orders";
+constexpr Millis kCommandRecordTimeout{700}; // commands not recorded in time are planned again
+constexpr Millis kCommandPauseMargin{200};
+constexpr const char *kHostCommandsKey = "host-orders";
 
 const char *nameOf(HostOrderResult result)
 {
@@ -86,66 +86,66 @@
 void HostController::start()
 {
     readHostList();
-    readRecordedOrders();
+    readRecordedCommands();
 }
 
-void HostController::readRecordedOrders()
+void HostController::readRecordedCommands()
 {
-    m_table.read(kControlTable, kControlPartition, kHostOrdersKey,
-                 std::string(kHostOrdersKey) + " ", kTableTimeout,
-                 [weak = weak_from_this()](const platform::ReadResult &result) {
-                     const auto self = weak.lock();
-                     if (!self || self->m_isStopped)
-                         return;
-                     if (!result.isAnswered)
-                         self->readRecordedOrders(); // a call takes its time even when it fails
-                     else
-                         self->applyRecordedOrders(result);
-                 });
+    m_table.read(
+        kControlTable, kControlPartition, kHostCommandsKey, std::string(kHostCommandsKey) + " ",
+        kTableTimeout, [weak = weak_from_this()](const platform::ReadResult &result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            if (!result.isAnswered)
+                self->readRecordedCommands(); // no delay: a failed call has used up its timeout
+            else
+                self->applyRecordedCommands(result);
+        });
 }
 
-void HostController::applyRecordedOrders(const platform::ReadResult &result)
+void HostController::applyRecordedCommands(const platform::ReadResult &result)
 {
     const Instant now = bootNow();
-    m_areRecordedOrdersRead = true;
+    m_areRecordedCommandsRead = true;
     for (const platform::TableRow &row : result.rows) {
         try {
-            const web::json::value intents = web::json::value::parse(row.value);
-            for (const auto &[host, time] : intents.as_object()) {
+            const web::json::value commandTimes = web::json::value::parse(row.value);
+            for (const auto &[host, time] : commandTimes.as_object()) {
                 const Millis age(result.clockMs - time.as_number().to_int64());
                 m_planner.pause(HostId(host),
-                                now - age + m_settings.hostOrderPause + kOrderPauseMargin);
+                                now - age + m_settings.hostCommandPause + kCommandPauseMargin);
             }
-        } catch (const web::json::json_exception &error) {
-            logWarning("host_intents_unreadable", {{"reason", error.what()}});
+        } catch (const web::json::json_exception &parseError) {
+            logWarning("host_intents_unreadable", {{"reason", parseError.what()}});
         }
     }
 }
 
-/// Orders to hosts are written down before they are sent, so that a next owner knows which hosts
-/// to leave alone for a while.
-void HostController::recordAndSend(const std::vector<HostOrder> &orders, Instant now)
+/// Stores host commands before they are sent, so that the next owner knows to which hosts it must
+/// not send commands for a while.
+void HostController::recordAndSend(const std::vector<HostOrder> &commands, Instant now)
 {
-    if (orders.empty())
+    if (commands.empty())
         return;
     const std::int64_t time = m_view.tableTime(now);
-    std::erase_if(m_orderTimes, [&](const auto &entry) {
-        return entry.second + 2 * m_settings.hostOrderPause.count() < time;
+    std::erase_if(m_commandTimes, [&](const auto &entry) {
+        return entry.second + 2 * m_settings.hostCommandPause.count() < time;
     });
     std::vector<std::pair<HostOrder, WorkerId>> pending;
-    for (const HostOrder &order : orders) {
-        const WorkerId worker = m_workerOfHost[order.host];
-        m_orderTimes[order.host] = time;
+    for (const HostOrder &command : commands) {
+        const WorkerId worker = m_workerOfHost[command.host];
+        m_commandTimes[command.host] = time;
         m_scheduler.setEnding(worker, true);
-        pending.emplace_back(order, worker);
+        pending.emplace_back(command, worker);
     }
     web::json::value record = web::json::value::object();
-    for (const auto &[host, when] : m_orderTimes)
+    for (const auto &[host, when] : m_commandTimes)
         record[host.name()] = web::json::value(when);
     platform::Transaction transaction{.part = kControlPartition};
     transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
-    transaction.writes.push_back({kControlTable, kHostOrdersKey, record.serialize()});
-    m_table.transact(transaction, kOrderRecordTimeout,
+    transaction.writes.push_back({kControlTable, kHostCommandsKey, record.serialize()});
+    m_table.transact(transaction, kCommandRecordTimeout,
                      [weak = weak_from_this(), pending](const platform::TransactionResult &result) {
                          const auto self = weak.lock();
                          if (!self || self->m_isStopped)
@@ -153,11 +153,11 @@
                          const bool maySend = result.outcome
                                  == platform::TransactionResult::Outcome::Done
                              && self->m_ownership.mayAct(bootNow());
-                         for (const auto &[order, worker] : pending) {
+                         for (const auto &[command, worker] : pending) {
                              if (maySend)
-                                 self->send(order, worker);
+                                 self->send(command, worker);
                              else
-                                 self->onOrderAnswered(order, worker, HostOrderResult::Refused);
+                                 self->onCommandAnswered(command, worker, HostOrderResult::Refused);
                          }
                      });
 }
@@ -176,29 +176,29 @@
 void HostController::readHostList()
 {
     m_client.list([weak = weak_from_this(),
-                   asked = bootNow()](const std::optional<std::vector<HostInfo>> &hosts) {
+                   requestedAt = bootNow()](const std::optional<std::vector<HostInfo>> &hosts) {
         const auto self = weak.lock();
         if (!self || self->m_isStopped)
             return;
         if (hosts)
-            self->applyHostList(*hosts, asked);
+            self->applyHostList(*hosts, requestedAt);
         else
             logWarning("host_list_not_read");
         self->m_listTimer.expires_after(self->hasPendingChanges() ? kShortHostListInterval
                                                                   : kHostListInterval);
-        self->m_listTimer.async_wait([weak](const boost::system::error_code &failed) {
-            const auto again = weak.lock();
-            if (!failed && again && !again->m_isStopped)
-                again->readHostList();
+        self->m_listTimer.async_wait([weak](const boost::system::error_code &error) {
+            const auto strong = weak.lock();
+            if (!error && strong && !strong->m_isStopped)
+                strong->readHostList();
         });
     });
 }
 
-void HostController::applyHostList(const std::vector<HostInfo> &hosts, Instant asked)
+void HostController::applyHostList(const std::vector<HostInfo> &hosts, Instant requestedAt)
 {
     const Instant now = bootNow();
     m_planner.takeHosts(hosts, now);
-    for (const OrderedLives::Verdict &verdict : m_lives.judge(hosts, asked)) {
+    for (const OrderedLives::Verdict &verdict : m_endVerifier.judge(hosts, requestedAt)) {
         if (verdict.hasEnded) {
             m_scheduler.workerEnded(verdict.worker, now);
             continue;
@@ -234,7 +234,7 @@
     m_hostStates[host.id] = host.state;
 }
 
-WorkerUse HostController::workerUse(WorkerId id) const
+WorkerUse HostController::workerUsage(WorkerId id) const
 {
     const auto found = m_scheduler.workers().find(id);
     if (found == m_scheduler.workers().end())
@@ -254,7 +254,7 @@
 
 void HostController::step(Instant now)
 {
-    if (now < m_nextPlan || !m_areRecordedOrdersRead)
+    if (now < m_nextPlan || !m_areRecordedCommandsRead)
         return;
     m_nextPlan = now + kPlanInterval;
     if (m_view.config)
@@ -266,7 +266,7 @@
                                                                 : known->second);
     }
     const HostPlanner::Plan plan = m_planner.plan(
-        m_scheduler.poolDemands(now), [this](WorkerId worker) { return workerUse(worker); }, now);
+        m_scheduler.poolDemands(now), [this](WorkerId worker) { return workerUsage(worker); }, now);
     m_scheduler.cordon(plan.cordoned);
     m_scheduler.setDueSoon(plan.dueSoon);
     m_scheduler.evacuate(plan.evacuated, now);
@@ -277,35 +277,36 @@
     recordMaintainedHosts(now);
 }
 
-void HostController::send(const HostOrder &order, WorkerId worker)
+void HostController::send(const HostOrder &command, WorkerId worker)
 {
     logInfo("host_ordered",
-            {{"host", order.host.name()},
+            {{"host", command.host.name()},
              {"worker", worker.name()},
-             {"pool", order.pool.name()},
-             {"wave", std::to_string(order.wave)},
-             {"reason", order.reason}});
-    const auto done = [weak = weak_from_this(), order, worker](HostOrderResult result) {
+             {"pool", command.pool.name()},
+             {"wave", std::to_string(command.wave)},
+             {"reason", command.reason}});
+    const auto done = [weak = weak_from_this(), command, worker](HostOrderResult result) {
         const auto self = weak.lock();
         if (self && !self->m_isStopped)
-            self->onOrderAnswered(order, worker, result);
+            self->onCommandAnswered(command, worker, result);
     };
     const std::uint64_t token = m_ownership.term().version;
-    if (order.isMove())
-        m_client.move(order.host, order.pool, token, done);
+    if (command.isMove())
+        m_client.move(command.host, command.pool, token, done);
     else
-        m_client.maintain(order.host, order.wave, token, done);
+        m_client.maintain(command.host, command.wave, token, done);
 }
 
-void HostController::onOrderAnswered(const HostOrder &order, WorkerId worker,
-                                     HostOrderResult result)
+void HostController::onCommandAnswered(const HostOrder &command, WorkerId worker,
+                                       HostOrderResult result)
 {
     const Instant now = bootNow();
     logFields("host_order_answered", result != HostOrderResult::Done,
-              {{"host", order.host.name()}, {"result", nameOf(result)}});
-    m_planner.orderAnswered(order, result, now);
+              {{"host", command.host.name()}, {"result", nameOf(result)}});
+    m_planner.orderAnswered(command, result, now);
     if (result == HostOrderResult::Done)
-        m_lives.orderDone(order.host, worker, now); // the next list tells whether it ended just now
+        m_endVerifier.orderDone(command.host, worker,
+                                now); // the next list shows whether this command ended the worker
     else
         m_scheduler.setEnding(worker, false);
 }
@@ -327,7 +328,7 @@
                              return;
                          self->m_isPublishing = false;
                          if (result.outcome != platform::TransactionResult::Outcome::Done)
-                             return; // written again with the next plan
+                             return; // retried with the next plan
                          logInfo("wave_state",
                                  {{"wave", std::to_string(wave)},
                                   {"completed", isCompleted ? "true" : "false"}});
--- a/src/node/hostcontroller.h
+++ b/src/node/hostcontroller.h
@@ -20,8 +20,8 @@
 
 class Metrics;
 
-/// Internal: carries out the HostPlanner's plans for one owner: reads the list of hosts, sends
-/// moves and maintenance, publishes the state of waves.
+/// Internal: executes the HostPlanner's plans during one term of ownership. Reads the list of
+/// hosts, sends move and maintenance commands and publishes the state of maintenance waves.
 class HostController : public std::enable_shared_from_this<HostController>
 {
 public:
@@ -31,20 +31,21 @@
 
     void start();
     void stop();
-    /// Plans and orders; cheap when called often.
+    /// Plans and sends commands; returns at once when the last plan is too recent.
     void step(Instant now);
+    /// Returns whether a host is being moved or maintained.
     bool hasPendingChanges() const;
 
 private:
     void readHostList();
-    void readRecordedOrders();
-    void applyRecordedOrders(const platform::ReadResult &result);
-    void recordAndSend(const std::vector<HostOrder> &orders, Instant now);
-    void applyHostList(const std::vector<HostInfo> &hosts, Instant asked);
-    void send(const HostOrder &order, WorkerId worker);
-    void onOrderAnswered(const HostOrder &order, WorkerId worker, HostOrderResult result);
+    void readRecordedCommands();
+    void applyRecordedCommands(const platform::ReadResult &result);
+    void recordAndSend(const std::vector<HostOrder> &commands, Instant now);
+    void applyHostList(const std::vector<HostInfo> &hosts, Instant requestedAt);
+    void send(const HostOrder &command, WorkerId worker);
+    void onCommandAnswered(const HostOrder &command, WorkerId worker, HostOrderResult result);
     void updateState(const HostInfo &host);
-    WorkerUse workerUse(WorkerId worker) const;
+    WorkerUse workerUsage(WorkerId worker) const;
     void recordMaintainedHosts(Instant now);
     void publishWaveState();
 
@@ -55,18 +56,18 @@
     Scheduler &m_scheduler;
     platform::HostClient m_client;
     HostPlanner m_planner;
-    OrderedLives m_lives;
-    std::map<HostId, WorkerId> m_workerOfHost; ///< By host, as last listed.
+    OrderedLives m_endVerifier;
+    std::map<HostId, WorkerId> m_workerOfHost; ///< From the latest list of hosts.
     std::map<HostId, HostInfo::State> m_hostStates;
     boost::asio::steady_timer m_listTimer;
     Instant m_nextPlan{};
     Instant m_nextRecord{};
     std::map<std::int64_t, std::size_t>
-        m_recordedHostCounts; ///< How many maintained hosts are recorded.
-    std::map<std::int64_t, bool>
-        m_unpublishedWaveStates; ///< States of waves that are to be written.
-    std::map<HostId, std::int64_t> m_orderTimes; ///< When hosts were ordered, on the table's clock.
-    bool m_areRecordedOrdersRead = false;
+        m_recordedHostCounts; ///< Number of maintained hosts that are recorded, by wave.
+    std::map<std::int64_t, bool> m_unpublishedWaveStates; ///< By wave, whether it is completed.
+    /// Time of the latest command to each host, in milliseconds on the table's clock.
+    std::map<HostId, std::int64_t> m_commandTimes;
+    bool m_areRecordedCommandsRead = false;
     bool m_isPublishing = false;
     bool m_isRecording = false;
     bool m_isStopped = false;
--- a/src/node/jobwriter.cpp
+++ b/src/node/jobwriter.cpp
@@ -13,40 +13,42 @@
 
 namespace {
 
-constexpr std::size_t kMaxBatchJobs = 30; // three entries each, of the 100 that a call may hold
-constexpr std::size_t kMaxBatchBytes = 400UL << 10; // of job texts; a call holds 1 MB in base64
-/// A part of the table turns transactions away when more than a second of them waits, and a slow
-/// one takes several hundred milliseconds for each.
+constexpr std::size_t kMaxBatchJobs = 30; // three entries each; a transaction may hold 100
+// Of encoded jobs; a call may hold 1 MB, in which they are base64.
+constexpr std::size_t kMaxBatchBytes = 400UL << 10;
+// A partition of the table refuses transactions when the queue holds more than one second of them.
+// A slow one takes several hundred milliseconds for each.
 constexpr Millis kStoreTimeout{2500};
 constexpr Millis kRetryDelay{100};
 constexpr Millis kDeadlineCheckInterval{50};
 
 } // namespace
 
-JobWriter::JobWriter(boost::asio::io_context &io, platform::TableClient &table, std::string part)
+JobWriter::JobWriter(boost::asio::io_context &io, platform::TableClient &table,
+                     std::string partition)
     : m_table(table)
-    , m_partition(std::move(part))
+    , m_partition(std::move(partition))
     , m_retryTimer(io)
     , m_deadlineTimer(io)
 {}
 
-void JobWriter::store(const JobSpec &job, Instant latest, Done done)
+void JobWriter::store(const JobSpec &job, Instant deadline, Done done)
 {
     const auto known = m_jobs.find(job.id);
-    if (known == m_jobs.end() && bootNow() + m_storeTime.expected(bootNow()) > latest) {
-        done(StoreOutcome::Refused, 0); // it would only be known later that it was in vain
+    if (known == m_jobs.end() && bootNow() + m_storeTime.expected(bootNow()) > deadline) {
+        done(StoreOutcome::Refused, 0); // would not be confirmed before the deadline
         return;
     }
-    PendingJobPtr &waiting = m_jobs[job.id];
-    if (!waiting) {
-        waiting = std::make_shared<PendingJob>();
-        waiting->id = job.id;
-        waiting->spec = encodeJob(job);
-        waiting->progress = encodeProgress(
+    PendingJobPtr &pending = m_jobs[job.id];
+    if (!pending) {
+        pending = std::make_shared<PendingJob>();
+        pending->id = job.id;
+        pending->spec = encodeJob(job);
+        pending->progress = encodeProgress(
             {.id = job.id, .acceptedMs = job.acceptedMs, .isReleased = job.isReleased});
-        m_queue.push_back(waiting);
+        m_queue.push_back(pending);
     }
-    waiting->callers.push_back({latest, std::move(done)});
+    pending->callers.push_back({deadline, std::move(done)});
     sendBatch();
     scheduleDeadlineCheck();
 }
@@ -57,8 +59,8 @@
         return;
     m_isDeadlineCheckScheduled = true;
     m_deadlineTimer.expires_after(kDeadlineCheckInterval);
-    m_deadlineTimer.async_wait([this](const boost::system::error_code &failed) {
-        if (failed)
+    m_deadlineTimer.async_wait([this](const boost::system::error_code &error) {
+        if (error)
             return;
         m_isDeadlineCheckScheduled = false;
         expireCallers();
@@ -66,36 +68,37 @@
     });
 }
 
-void JobWriter::complete(const PendingJobPtr &waiting, StoreOutcome outcome, std::uint64_t version)
+void JobWriter::complete(const PendingJobPtr &pending, StoreOutcome outcome, std::uint64_t version)
 {
-    m_jobs.erase(waiting->id);
-    for (const WaitingCaller &caller : std::exchange(waiting->callers, {}))
+    m_jobs.erase(pending->id);
+    for (const WaitingCaller &caller : std::exchange(pending->callers, {}))
         caller.done(outcome, version);
 }
 
-/// Answers the callers whose time has run out. A job that was never sent is dropped with them.
+/// Answers the callers whose deadline has passed. A job that was never sent is removed with its
+/// last caller.
 void JobWriter::expireCallers()
 {
     const Instant now = bootNow();
-    std::vector<std::pair<Done, StoreOutcome>> late;
-    for (const auto &[id, waiting] : m_jobs) {
-        const bool isQueued = std::find(m_queue.begin(), m_queue.end(), waiting) != m_queue.end();
-        const bool mayBeStored = waiting->mayBeStored || !isQueued;
-        std::erase_if(waiting->callers, [&](WaitingCaller &caller) {
+    std::vector<std::pair<Done, StoreOutcome>> expired;
+    for (const auto &[id, pending] : m_jobs) {
+        const bool isQueued = std::find(m_queue.begin(), m_queue.end(), pending) != m_queue.end();
+        const bool mayBeStored = pending->mayBeStored || !isQueued;
+        std::erase_if(pending->callers, [&](WaitingCaller &caller) {
             if (now < caller.deadline)
                 return false;
-            late.emplace_back(std::move(caller.done),
-                              mayBeStored ? StoreOutcome::Unknown : StoreOutcome::Refused);
+            expired.emplace_back(std::move(caller.done),
+                                 mayBeStored ? StoreOutcome::Unknown : StoreOutcome::Refused);
             return true;
         });
     }
-    std::erase_if(m_queue, [&](const PendingJobPtr &waiting) {
-        if (!waiting->callers.empty())
+    std::erase_if(m_queue, [&](const PendingJobPtr &pending) {
+        if (!pending->callers.empty())
             return false;
-        m_jobs.erase(waiting->id);
+        m_jobs.erase(pending->id);
         return true;
     });
-    for (const auto &[done, outcome] : late)
+    for (const auto &[done, outcome] : expired)
         done(outcome, 0);
 }
 
@@ -111,11 +114,11 @@
         m_queue.pop_front();
     }
     platform::Transaction transaction{.part = m_partition};
-    for (const PendingJobPtr &waiting : batch) {
-        const std::string progressKey = jobKey(waiting->id, JobRow::Progress);
+    for (const PendingJobPtr &pending : batch) {
+        const std::string progressKey = jobKey(pending->id, JobRow::Progress);
         transaction.expected.push_back({kProgressTable, progressKey, 0});
-        transaction.writes.push_back({kJobTable, jobKey(waiting->id, JobRow::Spec), waiting->spec});
-        transaction.writes.push_back({kProgressTable, progressKey, waiting->progress});
+        transaction.writes.push_back({kJobTable, jobKey(pending->id, JobRow::Spec), pending->spec});
+        transaction.writes.push_back({kProgressTable, progressKey, pending->progress});
     }
     m_isInFlight = true;
     m_storeTime.sent(bootNow());
@@ -137,22 +140,22 @@
                 present.insert(row.key);
         }
     }
-    for (auto waiting = batch.rbegin(); waiting != batch.rend(); ++waiting) {
+    for (auto pending = batch.rbegin(); pending != batch.rend(); ++pending) {
         if (result.outcome == Outcome::Done) {
-            complete(*waiting, StoreOutcome::Stored, result.version);
-        } else if (present.contains(jobKey((*waiting)->id, JobRow::Progress))) {
-            complete(*waiting, StoreOutcome::AlreadyStored, result.version);
+            complete(*pending, StoreOutcome::Stored, result.version);
+        } else if (present.contains(jobKey((*pending)->id, JobRow::Progress))) {
+            complete(*pending, StoreOutcome::AlreadyStored, result.version);
         } else {
-            (*waiting)->mayBeStored = (*waiting)->mayBeStored || result.outcome == Outcome::Unknown;
-            m_queue.push_front(*waiting);
+            (*pending)->mayBeStored = (*pending)->mayBeStored || result.outcome == Outcome::Unknown;
+            m_queue.push_front(*pending);
         }
     }
     expireCallers();
     if (result.outcome == Outcome::Refused || result.outcome == Outcome::Unknown) {
         m_isBackingOff = true;
         m_retryTimer.expires_after(kRetryDelay);
-        m_retryTimer.async_wait([this](const boost::system::error_code &failed) {
-            if (failed)
+        m_retryTimer.async_wait([this](const boost::system::error_code &error) {
+            if (error)
                 return;
             m_isBackingOff = false;
             sendBatch();
--- a/src/node/jobwriter.h
+++ b/src/node/jobwriter.h
@@ -17,30 +17,31 @@
 
 namespace oleanderhall {
 
-/// Internal: what became of a job that was to be stored.
+/// Internal: the result of storing a job.
 enum class StoreOutcome {
     Stored,
-    AlreadyStored, ///< A job with this id stands there; it is the same job.
+    AlreadyStored, ///< A job with this id exists; it is the same job.
     Refused, ///< Certainly not stored.
-    Unknown, ///< It may be stored, or may be later.
+    Unknown, ///< It may be stored already, or may still be.
 };
 
-/// Internal: stores accepted jobs. Jobs that arrive while a transaction is under way go together in
-/// the next one, as a slow table takes few transactions a second. A caller whose time runs out is
-/// answered, but its transaction goes on: given up ones would fill the table's queue for nothing.
+/// Internal: stores accepted jobs in batches. Jobs that arrive while a transaction is in flight go
+/// together into the next one, as a slow table executes few transactions a second. A caller is
+/// answered at its deadline, but its transaction continues: an abandoned one would still occupy the
+/// table's queue.
 class JobWriter
 {
 public:
     using Done = std::function<void(StoreOutcome, std::uint64_t version)>;
 
-    /// `part` is the table's part in which the jobs lie.
-    JobWriter(boost::asio::io_context &io, platform::TableClient &table, std::string part);
+    /// Writes to one `partition` of the job tables; every stored job must belong to it.
+    JobWriter(boost::asio::io_context &io, platform::TableClient &table, std::string partition);
 
-    /// Stores `job` and calls `done` once, by `latest` at the latest. The same job may be stored by
-    /// several calls at once.
-    void store(const JobSpec &job, Instant latest, Done done);
+    /// Stores `job` and calls `done` once, shortly after `deadline` at the latest. Concurrent calls
+    /// may store the same job.
+    void store(const JobSpec &job, Instant deadline, Done done);
 
-    /// Returns the time until a job that arrives now is stored, as far as is known.
+    /// Returns the estimated time to store a job that arrives now.
     Millis expectedDelay(Instant now) const { return m_storeTime.expected(now); }
 
 private:
@@ -62,7 +63,7 @@
 
     void sendBatch();
     void onBatchAnswered(const Batch &batch, const platform::TransactionResult &result);
-    void complete(const PendingJobPtr &waiting, StoreOutcome outcome, std::uint64_t version);
+    void complete(const PendingJobPtr &pending, StoreOutcome outcome, std::uint64_t version);
     void expireCallers();
     void scheduleDeadlineCheck();
 
@@ -70,7 +71,7 @@
     std::string m_partition;
     boost::asio::steady_timer m_retryTimer;
     boost::asio::steady_timer m_deadlineTimer;
-    std::map<JobId, PendingJobPtr> m_jobs; ///< Queued or under way.
+    std::map<JobId, PendingJobPtr> m_jobs; ///< Queued or in flight.
     std::deque<PendingJobPtr> m_queue;
     bool m_isInFlight = false;
     StoreTime m_storeTime;
--- a/src/node/nodesettings.cpp
+++ b/src/node/nodesettings.cpp
@@ -32,19 +32,21 @@
     addOption(app, "--id", raw.id, "Name of this node");
     addOption(app, "--zone", raw.zone, "Availability zone of this node");
     addOption(app, "--callers", raw.callers, "IP:PORT on which callers are served");
-    addOption(app, "--health", raw.health, "IP:PORT on which the balancer asks for readiness");
+    addOption(app, "--health", raw.health, "IP:PORT on which the load balancer probes readiness");
     addOption(app, "--metrics", raw.metrics, "IP:PORT on which metrics are served");
     addOption(app, "--table", settings.tableAddress, "IP:PORT of the table service");
     addOption(app, "--hosts", settings.hostServiceAddress, "IP:PORT of the host service");
     addOption(app, "--advice", settings.adviceAddress, "IP:PORT of the policy service");
-    addOption(app, "--processor-share", settings.processorShare, "Share of a core");
+    addOption(app, "--processor-share", settings.processorShare,
+              "Processor time of this process, in cores");
     addOption(app, "--stop-ms", raw.stopMs, "Longest time that a worker takes to stop a task");
     addOption(app, "--status-s", raw.statusLifetimeS, "How long the state of an ended job is kept");
     addOption(app, "--move-s", raw.moveS, "How long a move of a host takes");
     addOption(app, "--maintenance-s", raw.maintenanceS, "How long a host's maintenance takes");
     addOption(app, "--host-pause-ms", raw.hostPauseMs,
-              "Pause between two holders' orders to hosts");
-    addOption(app, "--stop-limit-s", raw.stopLimitS, "Time from the stop signal to the kill");
+              "Pause between commands of two owners to a host");
+    addOption(app, "--stop-limit-s", raw.stopLimitS,
+              "Time from the stop signal until the platform kills the process");
 }
 
 Millis fromSeconds(double seconds)
@@ -84,7 +86,7 @@
     settings.statusLifetime = fromSeconds(raw.statusLifetimeS);
     settings.moveTime = fromSeconds(raw.moveS);
     settings.maintenanceTime = fromSeconds(raw.maintenanceS);
-    settings.hostOrderPause = Millis(raw.hostPauseMs);
+    settings.hostCommandPause = Millis(raw.hostPauseMs);
     settings.shutdownTimeout = fromSeconds(raw.stopLimitS);
 }
 
--- a/src/node/nodesettings.h
+++ b/src/node/nodesettings.h
@@ -10,7 +10,7 @@
 
 namespace oleanderhall {
 
-/// Internal: what a fleet node learns from its settings file, flags and environment.
+/// Internal: the settings of a fleet node from its settings file, flags and environment.
 struct NodeSettings
 {
     EntryId id;
@@ -19,20 +19,21 @@
     SocketAddress healthAddress;
     SocketAddress metricsAddress;
     std::string tableAddress; ///< IP:PORT of the transactional table service.
-    std::string hostServiceAddress; ///< IP:PORT of the platform's host service; empty for none.
-    std::string adviceAddress; ///< IP:PORT of the policy service; empty for none.
-    double processorShare = 1; ///< Of one core.
-    Millis taskStopTimeout{400};
-    Millis statusLifetime{120000};
-    Millis moveTime{1500};
-    Millis maintenanceTime{2000};
-    Millis hostOrderPause{3000}; ///< Before orders to a host from another holder.
-    Millis shutdownTimeout{6000}; ///< The platform kills the process after this.
+    /// IP:PORT of the platform's host service; when empty, no hosts are moved or maintained.
+    std::string hostServiceAddress;
+    std::string adviceAddress; ///< IP:PORT of the policy service; may be empty.
+    double processorShare = 1; ///< Processor time of this process, in cores.
+    Millis taskStopTimeout{400}; ///< Longest time that a worker takes to stop a task.
+    Millis statusLifetime{120000}; ///< How long the state of an ended job is kept.
+    Millis moveTime{1500}; ///< How long a move of a host takes.
+    Millis maintenanceTime{2000}; ///< How long a host's maintenance takes.
+    Millis hostCommandPause{3000}; ///< Between two owners' commands to a host.
+    Millis shutdownTimeout{6000}; ///< From the stop signal until the platform kills the process.
 };
 
 /// Internal: reads flags, environment and the settings file that --settings or
-/// OLEANDERHALL_CONFIG names. Returns nothing when the program should end, with its exit code. All
-/// findings are printed together.
+/// OLEANDERHALL_CONFIG names. Returns nothing and sets `exitCode` when the program should exit. All
+/// faults of the settings are printed together.
 std::optional<NodeSettings> parseNodeSettings(int argc, const char *const *argv, int &exitCode);
 
 } // namespace oleanderhall
--- a/src/node/storednames.h
+++ b/src/node/storednames.h
@@ -10,35 +10,36 @@
 
 namespace oleanderhall {
 
-// Internal: where the project's own rows lie in the table service.
+// Internal: tables, partitions and keys of the rows that the fleet nodes store in the table
+// service.
 
-/// Internal: the part of the rows about ownership and hosts.
+/// Internal: the partition of the control table: term, heartbeat, host commands, maintained hosts.
 inline constexpr const char *kControlPartition = "fleet";
-/// Internal: a part takes a few hundred transactions a second, and a slow one only a few. Jobs are
-/// spread over this many parts by their id; each holds a row with the owner's token, so that every
-/// record of progress is one transaction that also checks ownership.
+/// Internal: the number of partitions over which jobs are distributed by their id. A partition
+/// executes a few hundred transactions a second, a slow one only a few. Each holds a row with the
+/// owner's fencing token, so that every write of progress checks ownership in one transaction.
 inline constexpr int kJobPartitions = 4;
 inline constexpr const char *kFencingTokenTable = "fences";
 inline constexpr const char *kFencingTokenKey = "owner";
-inline constexpr const char *kJobTable = "jobs"; ///< What callers asked for.
-/// How far jobs are, and the cancellations once more, so that one read tells a job's state. The
-/// owner follows the other table only and is not woken by its own records.
+inline constexpr const char *kJobTable = "jobs"; ///< Jobs as submitted, and cancellations.
+/// Progress of jobs, and the cancellations again, so that one read returns a job's state. The owner
+/// watches only `kJobTable`, so its own progress writes don't wake it up.
 inline constexpr const char *kProgressTable = "progress";
 inline constexpr const char *kControlTable = "control";
 inline constexpr const char *kTermKey = "term";
 inline constexpr const char *kHeartbeatKey = "beat";
 
-/// Internal: rows of the control table that list the hosts a wave has maintained.
+/// Internal: prefix of the control table's rows that list the maintained hosts, one row a wave.
 inline constexpr std::string_view kMaintainedHostsPrefix = "wave/";
 
 /// Internal: the rows of one job, in the order of their keys.
 enum class JobRow : char {
-    Spec = 'j', ///< What the caller submitted; dropped when the job has ended.
-    Progress = 'p', ///< Written with the spec; from then on by the owner alone.
+    Spec = 'j', ///< What the caller submitted; deleted when the job has ended.
+    Progress = 'p', ///< Created with the spec, then updated only by the owner.
     Cancel = 'x', ///< Present once a caller has cancelled the job.
 };
 
-/// Internal: returns the number of the part, from 0, in which the rows of job `id` lie.
+/// Internal: returns the index of the partition, from 0, that stores the rows of job `id`.
 inline int jobPartition(JobId id)
 {
     return static_cast<int>(XXH64(&id.value, sizeof id.value, 0) % kJobPartitions);
--- a/src/node/tablewatcher.cpp
+++ b/src/node/tablewatcher.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr Millis kRetryDelay{200}; // after a call that was not answered or turned away
-constexpr Millis kReadTimeout{1500}; // a slow service answers after several hundred milliseconds
+constexpr Millis kRetryDelay{200}; // after a call that was refused or not answered
+constexpr Millis kReadTimeout{1500}; // a slow service takes several hundred milliseconds
 
 } // namespace
 
 TableWatcher::TableWatcher(boost::asio::io_context &io, platform::TableClient &table, Source source,
-                           UpdateHandler sink)
+                           UpdateHandler onUpdate)
     : m_timer(io)
     , m_table(table)
     , m_source(std::move(source))
-    , m_onUpdate(std::move(sink))
+    , m_onUpdate(std::move(onUpdate))
 {}
 
 void TableWatcher::start()
@@ -37,8 +37,8 @@
         return;
     }
     m_timer.expires_after(delay);
-    m_timer.async_wait([self = shared_from_this(), next](const boost::system::error_code &failed) {
-        if (!failed && !self->m_isStopped)
+    m_timer.async_wait([self = shared_from_this(), next](const boost::system::error_code &error) {
+        if (!error && !self->m_isStopped)
             (self.get()->*next)();
     });
 }
@@ -60,25 +60,26 @@
                          self->runAfter(kRetryDelay, &TableWatcher::readSnapshot);
                          return;
                      }
-                     Update &whole = self->m_snapshot;
-                     if (whole.version == 0) {
-                         whole.version = result.version;
-                         whole.clockMs = result.clockMs;
-                         whole.sentAt = result.sent;
+                     Update &snapshot = self->m_snapshot;
+                     if (snapshot.version == 0) {
+                         snapshot.version = result.version;
+                         snapshot.clockMs = result.clockMs;
+                         snapshot.sentAt = result.sent;
                      }
                      std::move(result.rows.begin(), result.rows.end(),
-                               std::back_inserter(whole.rows));
-                     if (result.hasMore && !whole.rows.empty()) {
-                         self->readPage(whole.rows.back().key + " "); // the next key in byte order
+                               std::back_inserter(snapshot.rows));
+                     if (result.hasMore && !snapshot.rows.empty()) {
+                         self->readPage(snapshot.rows.back().key
+                                        + " "); // continue with the next key in byte order
                          return;
                      }
                      if (++self->m_partitionIndex < self->m_source.partitions.size()) {
                          self->readPage({});
                          return;
                      }
-                     self->m_version = whole.version;
-                     self->m_lastContact = whole.sentAt;
-                     const Update update = std::move(whole);
+                     self->m_version = snapshot.version;
+                     self->m_lastContact = snapshot.sentAt;
+                     const Update update = std::move(snapshot);
                      self->m_onUpdate(update);
                      self->watch();
                  });
--- a/src/node/tablewatcher.h
+++ b/src/node/tablewatcher.h
@@ -13,8 +13,8 @@
 
 namespace oleanderhall {
 
-/// Internal: keeps a reader up to date with one table. It reads the table whole, then follows its
-/// changes; when the history was dropped or the service forgot, it reads the table whole again.
+/// Internal: reports a snapshot of one table and then each of its changes. When the service no
+/// longer has the history of changes since the last report, it reports a new snapshot.
 class TableWatcher : public std::enable_shared_from_this<TableWatcher>
 {
 public:
@@ -22,25 +22,26 @@
     {
         std::string table;
         std::vector<std::string> partitions;
-        Millis longPoll{1000}; ///< How long one call waits for a change.
-        Millis spacing{0}; ///< Between two calls, to take several changes at once.
+        Millis longPoll{1000}; ///< How long one call waits for changes.
+        Millis spacing{0}; ///< Delay between two calls, so that one returns several changes.
     };
     struct Update
     {
         std::vector<platform::TableRow> rows;
-        bool isSnapshot = false; ///< `rows` is the whole table.
-        std::uint64_t version = 0;
+        bool isSnapshot = false; ///< `rows` holds all rows of the partitions.
+        std::uint64_t version = 0; ///< Of the table service when it answered.
         std::int64_t clockMs = 0; ///< The table service's steady clock.
         Instant sentAt; ///< When the answered call was sent.
     };
     using UpdateHandler = std::function<void(const Update &)>;
 
     TableWatcher(boost::asio::io_context &io, platform::TableClient &table, Source source,
-                 UpdateHandler sink);
+                 UpdateHandler onUpdate);
 
     void start();
+    /// After this call the handler is not called any more.
     void stop();
-    /// Returns when the last answered call was sent; the epoch before the first.
+    /// Returns when the last answered call was sent; the epoch if there was none.
     Instant lastContact() const { return m_lastContact; }
 
 private:
@@ -56,7 +57,7 @@
     bool m_isStopped = false;
     bool m_isReachable = true;
     Update m_snapshot;
-    std::size_t m_partitionIndex = 0; ///< That is being read.
+    std::size_t m_partitionIndex = 0; ///< Of the partition that is being read.
     std::uint64_t m_version = 0;
     Instant m_lastContact{};
 };
--- a/src/node/viewupdate.cpp
+++ b/src/node/viewupdate.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-void takeConfig(FleetView &view, FleetConfig config)
+void applyConfig(FleetView &view, FleetConfig config)
 {
     if (view.config && config.version <= view.config->version)
         return;
@@ -47,7 +47,7 @@
     try {
         const web::json::value record = web::json::value::parse(text);
         if (!record.has_field("waiting"))
-            return; // of an owner that has not read the jobs yet
+            return; // the owner has not loaded the jobs yet
         view.report.waitingJobs.clear();
         for (const auto &[queue, waiting] : record.at("waiting").as_object())
             view.report.waitingJobs[queue] = waiting.as_number().to_int64();
@@ -75,7 +75,7 @@
         return;
     try {
         if (row.key == platform::kConfigKey) {
-            takeConfig(view, platform::decodeConfiguration(row.value));
+            applyConfig(view, platform::decodeConfiguration(row.value));
         } else if (const auto wave = platform::decodeWave(row.key, row.value)) {
             view.waves[wave->number] = *wave;
             view.waveSeenAt.try_emplace(wave->number, bootNow());
--- a/src/node/viewupdate.h
+++ b/src/node/viewupdate.h
@@ -10,16 +10,17 @@
 
 namespace oleanderhall {
 
-// Internal: takes rows of the table into a node's view. A row that can't be read changes nothing
-// and gives one log line.
+// Internal: decodes rows of the table service and applies them to a node's view. A row that can't
+// be decoded changes nothing and is logged as a warning.
 
-/// Returns what the row of the term says.
+/// Decodes the term's row. A row that can't be decoded still yields its version.
 TermRecord decodeTerm(const platform::TableRow &row);
-/// Takes the owner's report, which its heartbeat carries.
+/// Applies the owner's report, the value of the heartbeat row.
 void applyOwnerReport(FleetView &view, const std::string &text);
-/// Takes the hosts that a wave has maintained.
+/// Adds the hosts that a wave has maintained.
 void applyMaintainedHosts(FleetView &view, const platform::TableRow &row);
-/// Takes a row that operators wrote: the configuration, unless an older one, or a wave.
+/// Applies a row that operators wrote: a wave, or the configuration unless its version is not newer
+/// than the one in force.
 void applyOperatorRow(FleetView &view, const platform::TableRow &row);
 
 } // namespace oleanderhall
--- a/tests/daemon/nodesettings_test.cpp
+++ b/tests/daemon/nodesettings_test.cpp
@@ -28,7 +28,7 @@
     int exitCode = 0;
 };
 
-const char *const kWhole = R"(id = "edge-1"
+const char *const kCompleteFile = R"(id = "edge-1"
 zone = "z1"
 callers = "10.1.0.9:8624"
 health = "10.1.0.9:8622"
@@ -44,7 +44,7 @@
 
 TEST_CASE_METHOD(NodeSettingsTest, "NodeSettings_wholeFile_isTaken", "[settings]")
 {
-    const auto settings = parseFile(kWhole);
+    const auto settings = parseFile(kCompleteFile);
     REQUIRE(settings);
     CHECK(settings->id.name() == "edge-1");
     CHECK(settings->callerAddress.port == 8624);
