--- a/src/node/callerapi.h
+++ b/src/node/callerapi.h
@@ -34,7 +34,7 @@
         QueueRule queue;
         ConfigVersion config;
         std::string jobId; ///< The path behind the queue's prefix; empty for the queue itself.
-        Instant deadline; ///< Of the answer, somewhat before the caller's own time limit.
+        Instant deadline; ///< Of the answer; leaves a reserve within the caller's time limit.
     };
 
     boost::asio::awaitable<Reply> submit(Target target, JobId id, std::string body);
@@ -49,7 +49,7 @@
     platform::TableClient &m_table;
     const FleetView &m_view;
     Metrics &m_metrics;
-    std::vector<std::unique_ptr<JobWriter>> m_writers; ///< By part.
+    std::vector<std::unique_ptr<JobWriter>> m_writers; ///< By partition.
 };
 
 } // namespace oleanderhall
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -43,6 +43,7 @@
 // The load balancer probes once a second and reacts to the second failure.
 constexpr Millis kUnreadyNotice{2300};
 constexpr Millis kShutdownReserve{800}; // left before the platform kills the process
+constexpr Millis kShutdownPollInterval{20};
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 constexpr int kNotFound = 404;
@@ -354,7 +355,7 @@
             m_io.stop();
             return;
         }
-        m_shutdownTimer.expires_after(Millis(20));
+        m_shutdownTimer.expires_after(kShutdownPollInterval);
         m_shutdownTimer.async_wait([this](const boost::system::error_code &) { finishShutdown(); });
     }
 
--- a/src/node/fleetowner.h
+++ b/src/node/fleetowner.h
@@ -81,13 +81,13 @@
     std::unique_ptr<platform::AdviceClient> m_adviceClient;
     std::shared_ptr<HostController> m_hostController;
     std::shared_ptr<TableWatcher> m_jobWatcher;
-    std::map<JobId, JobProgress>
-        m_inheritedProgress; ///< Read at the take-over, held until the jobs are loaded.
+    /// Progress that was read at the take-over; held until the jobs are loaded.
+    std::map<JobId, JobProgress> m_inheritedProgress;
     std::vector<std::uint64_t>
         m_tokenRowVersions; ///< Versions of the fencing token rows, by partition.
     int m_partitionsToRead = 0;
-    int m_writesInFlight = 0;
-    bool m_haveWritesSucceeded = true;
+    int m_writesInFlight = 0; ///< Transactions of the latest batch of progress.
+    bool m_haveWritesSucceeded = true; ///< Of that batch, so far.
     std::map<JobId, std::uint64_t> m_progressVersions; ///< Expected by the next progress write.
     boost::asio::steady_timer m_stepTimer;
     boost::asio::steady_timer m_workerListTimer;
--- a/src/node/fleetownerloading.cpp
+++ b/src/node/fleetownerloading.cpp
@@ -1,4 +1,4 @@
-// Loading of a FleetOwner: takes the partitions over and reads jobs and workers.
+// FleetOwner's loading: fences the partitions, then reads the jobs; reads the list of workers.
 #include "fleetowner.h"
 
 #include "storednames.h"
@@ -29,25 +29,26 @@
 /// Writes this owner's fencing token into the partition, after which writes of earlier owners fail.
 void FleetOwner::fencePartition(int partition)
 {
-    m_table.read(
-        kFencingTokenTable, jobPartitionName(partition), "", "", kReadTimeout,
-        [weak = weak_from_this(), partition](const platform::ReadResult &result) {
-            const auto self = weak.lock();
-            if (!self || self->m_isStopped)
-                return;
-            if (!result.isAnswered) {
-                self->fencePartition(partition); // no delay: a failed call has used up its timeout
-                return;
-            }
-            std::uint64_t version = 0;
-            for (const platform::TableRow &row : result.rows) {
-                version = row.version;
-                const auto token = std::strtoull(row.value.c_str(), nullptr, 10);
-                self->m_isSuperseded = self->m_isSuperseded || token > self->m_term.version;
-            }
-            if (!self->m_isSuperseded)
-                self->writeFencingToken(partition, version);
-        });
+    m_table.read(kFencingTokenTable, jobPartitionName(partition), "", "", kReadTimeout,
+                 [weak = weak_from_this(), partition](const platform::ReadResult &result) {
+                     const auto self = weak.lock();
+                     if (!self || self->m_isStopped)
+                         return;
+                     // Retried at once: a failed call usually lasts until its timeout.
+                     if (!result.isAnswered) {
+                         self->fencePartition(partition);
+                         return;
+                     }
+                     std::uint64_t version = 0;
+                     for (const platform::TableRow &row : result.rows) {
+                         version = row.version;
+                         const auto token = std::strtoull(row.value.c_str(), nullptr, 10);
+                         self->m_isSuperseded = self->m_isSuperseded
+                             || token > self->m_term.version;
+                     }
+                     if (!self->m_isSuperseded)
+                         self->writeFencingToken(partition, version);
+                 });
 }
 
 void FleetOwner::writeFencingToken(int partition, std::uint64_t knownVersion)
--- a/src/node/hostcontroller.cpp
+++ b/src/node/hostcontroller.cpp
@@ -91,17 +91,18 @@
 
 void HostController::readRecordedCommands()
 {
-    m_table.read(
-        kControlTable, kControlPartition, kHostCommandsKey, std::string(kHostCommandsKey) + " ",
-        kTableTimeout, [weak = weak_from_this()](const platform::ReadResult &result) {
-            const auto self = weak.lock();
-            if (!self || self->m_isStopped)
-                return;
-            if (!result.isAnswered)
-                self->readRecordedCommands(); // no delay: a failed call has used up its timeout
-            else
-                self->applyRecordedCommands(result);
-        });
+    m_table.read(kControlTable, kControlPartition, kHostCommandsKey,
+                 std::string(kHostCommandsKey) + " ", kTableTimeout,
+                 [weak = weak_from_this()](const platform::ReadResult &result) {
+                     const auto self = weak.lock();
+                     if (!self || self->m_isStopped)
+                         return;
+                     // Retried at once: a failed call usually lasts until its timeout.
+                     if (!result.isAnswered)
+                         self->readRecordedCommands();
+                     else
+                         self->applyRecordedCommands(result);
+                 });
 }
 
 void HostController::applyRecordedCommands(const platform::ReadResult &result)
@@ -241,15 +242,15 @@
         return {};
     constexpr double kMilliCoresPerCore = 1000;
     const WorkerState &worker = found->second;
-    WorkerUse use{.isKnown = worker.isListed && worker.isRead && !worker.isEnding,
-                  .isEmpty = worker.runs.empty(),
-                  .mayInterrupt = m_scheduler.mayInterrupt(id)};
+    WorkerUse usage{.isKnown = worker.isListed && worker.isRead && !worker.isEnding,
+                    .isEmpty = worker.runs.empty(),
+                    .mayInterrupt = m_scheduler.mayInterrupt(id)};
     for (const WorkerRun &run : worker.runs) {
         if (!run.isLongRunning)
-            use.batchCores += std::max(
+            usage.batchCores += std::max(
                 1.0, static_cast<double>(run.need.milliCores) / kMilliCoresPerCore);
     }
-    return use;
+    return usage;
 }
 
 void HostController::step(Instant now)
