--- a/src/node/fleetowner.cpp
+++ b/src/node/fleetowner.cpp
@@ -271,7 +271,7 @@
                 const auto self = weak.lock();
                 if (!self || self->m_isStopped)
                     return;
-                self->onProgressWritten(partition, updates, result);
+                self->onBatchWritten(partition, updates, result);
                 if (--self->m_writesInFlight > 0)
                     return;
                 self->m_scheduler.recordAnswered(number, self->m_haveWritesSucceeded, bootNow());
@@ -280,8 +280,8 @@
     }
 }
 
-void FleetOwner::onProgressWritten(int partition, const std::vector<JobProgress> &updates,
-                                   const platform::TransactionResult &result)
+void FleetOwner::onBatchWritten(int partition, const std::vector<JobProgress> &updates,
+                                const platform::TransactionResult &result)
 {
     using Outcome = platform::TransactionResult::Outcome;
     if (result.outcome == Outcome::Done) {
--- a/src/node/fleetowner.h
+++ b/src/node/fleetowner.h
@@ -62,8 +62,8 @@
     void send(const LookOrder &request);
     void send(const AdviceOrder &request);
     void send(const RecordOrder &write);
-    void onProgressWritten(int partition, const std::vector<JobProgress> &updates,
-                           const platform::TransactionResult &result);
+    void onBatchWritten(int partition, const std::vector<JobProgress> &updates,
+                        const platform::TransactionResult &result);
     void scheduleStep();
     void step();
     void logDecisions();
--- a/src/node/hostcontroller.cpp
+++ b/src/node/hostcontroller.cpp
@@ -305,9 +305,9 @@
     logFields("host_order_answered", result != HostOrderResult::Done,
               {{"host", command.host.name()}, {"result", nameOf(result)}});
     m_planner.orderAnswered(command, result, now);
+    // The next list of hosts shows whether this command ended the worker.
     if (result == HostOrderResult::Done)
-        m_endVerifier.orderDone(command.host, worker,
-                                now); // the next list shows whether this command ended the worker
+        m_endVerifier.orderDone(command.host, worker, now);
     else
         m_scheduler.setEnding(worker, false);
 }
--- a/src/node/hostcontroller.h
+++ b/src/node/hostcontroller.h
@@ -29,7 +29,9 @@
                    platform::TableClient &table, const Ownership &ownership, const FleetView &view,
                    Scheduler &scheduler, Metrics &metrics);
 
+    /// Begins to read the list of hosts and the commands that earlier owners have recorded.
     void start();
+    /// Sends no more commands; answers that arrive later are ignored.
     void stop();
     /// Plans and sends commands; returns at once when the last plan is too recent.
     void step(Instant now);
@@ -62,8 +64,8 @@
     boost::asio::steady_timer m_listTimer;
     Instant m_nextPlan{};
     Instant m_nextRecord{};
-    std::map<std::int64_t, std::size_t>
-        m_recordedHostCounts; ///< Number of maintained hosts that are recorded, by wave.
+    /// Number of maintained hosts that are recorded, by wave.
+    std::map<std::int64_t, std::size_t> m_recordedHostCounts;
     std::map<std::int64_t, bool> m_unpublishedWaveStates; ///< By wave, whether it is completed.
     /// Time of the latest command to each host, in milliseconds on the table's clock.
     std::map<HostId, std::int64_t> m_commandTimes;
--- a/src/node/storednames.h
+++ b/src/node/storednames.h
@@ -60,6 +60,7 @@
     JobRow row = JobRow::Spec;
 };
 
+/// Internal: the inverse of jobKey(); returns nothing for other keys.
 inline std::optional<JobKey> parseJobKey(std::string_view key)
 {
     constexpr std::size_t kKeyLength = 18;
--- a/src/node/tablewatcher.h
+++ b/src/node/tablewatcher.h
@@ -38,6 +38,7 @@
     TableWatcher(boost::asio::io_context &io, platform::TableClient &table, Source source,
                  UpdateHandler onUpdate);
 
+    /// Begins with a snapshot; failed calls are repeated until stop().
     void start();
     /// After this call the handler is not called any more.
     void stop();
