--- /dev/null
+++ b/src/node/fleetowner.cpp
@@ -0,0 +1,310 @@
+#include "fleetowner.h"
+
+#include "storednames.h"
+
+#include "../../platform/discovery.h"
+#include "../daemon/log.h"
+#include "../daemon/metrics.h"
+
+#include "oleanderhall/core/clock.h"
+#include "oleanderhall/jobs/jobcodec.h"
+
+#include <boost/asio/post.hpp>
+
+#include <cstdlib>
+
+namespace oleanderhall {
+
+namespace {
+
+// A slow table needs several hundred milliseconds for each transaction.
+constexpr Millis kProgressWriteTimeout{2500};
+constexpr Millis kStepDelay{2}; // one scheduling step handles all events of this period
+
+SchedulerSettings schedulerSettings(const NodeSettings &settings)
+{
+    SchedulerSettings result;
+    result.stopTimeout = settings.taskStopTimeout;
+    result.statusLifetime = settings.statusLifetime;
+    return result;
+}
+
+} // namespace
+
+FleetOwner::FleetOwner(boost::asio::io_context &io, const NodeSettings &settings,
+                       platform::TableClient &table, const Ownership &ownership,
+                       const FleetView &view, Metrics &metrics)
+    : m_io(io)
+    , m_settings(settings)
+    , m_table(table)
+    , m_ownership(ownership)
+    , m_view(view)
+    , m_metrics(metrics)
+    , m_term(ownership.term())
+    , m_scheduler(schedulerSettings(settings), m_term.generation - 1, bootNow())
+    , m_workerClient(io, metrics, m_term.version)
+    , m_stepTimer(io)
+    , m_workerListTimer(io)
+{
+    if (!settings.adviceAddress.empty())
+        m_adviceClient = std::make_unique<platform::AdviceClient>(io, settings.adviceAddress,
+                                                                  metrics);
+}
+
+FleetOwner::~FleetOwner() = default;
+
+void FleetOwner::start()
+{
+    logInfo("ownership_taken",
+            {{"token", std::to_string(m_term.version)},
+             {"generation", std::to_string(m_term.generation)}});
+    viewChanged();
+    m_tokenRowVersions.resize(kJobPartitions);
+    m_partitionsToRead = kJobPartitions;
+    for (int partition = 0; partition < kJobPartitions; ++partition)
+        fencePartition(partition);
+    readWorkerList();
+    if (!m_settings.hostServiceAddress.empty()) {
+        m_hostController = std::make_shared<HostController>(m_io, m_settings, m_table, m_ownership,
+                                                            m_view, m_scheduler, m_metrics);
+        m_hostController->start();
+    }
+}
+
+void FleetOwner::stop()
+{
+    if (m_isStopped)
+        return;
+    m_isStopped = true;
+    logInfo("ownership_ended", {{"token", std::to_string(m_term.version)}});
+    if (m_jobWatcher)
+        m_jobWatcher->stop();
+    if (m_hostController)
+        m_hostController->stop();
+    m_stepTimer.cancel();
+    m_workerListTimer.cancel();
+}
+
+void FleetOwner::viewChanged()
+{
+    if (m_view.config)
+        m_scheduler.setQueues(m_view.config->version, m_view.config->queues);
+    scheduleStep();
+}
+
+std::vector<QueueLoad> FleetOwner::loadByQueue() const
+{
+    return m_isLoaded ? m_scheduler.queueLoads() : std::vector<QueueLoad>();
+}
+
+std::string FleetOwner::addressOf(WorkerId worker) const
+{
+    const auto found = m_scheduler.workers().find(worker);
+    return found == m_scheduler.workers().end() ? std::string() : found->second.info.address;
+}
+
+void FleetOwner::scheduleStep()
+{
+    if (m_isStepScheduled || m_isStopped)
+        return;
+    m_isStepScheduled = true;
+    m_stepTimer.expires_after(kStepDelay);
+    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
+        const auto self = weak.lock();
+        if (error || !self || self->m_isStopped)
+            return;
+        self->step();
+    });
+}
+
+void FleetOwner::step()
+{
+    m_isStepScheduled = false;
+    const Instant now = bootNow();
+    if (m_isLoaded && m_areWorkersListed && m_ownership.mayExtend(now)) {
+        if (m_hostController && m_ownership.mayAct(now))
+            m_hostController->step(now);
+        std::vector<SchedulerAction> actions = m_scheduler.tick(now, wallMs(),
+                                                                m_ownership.mayAct(now));
+        dispatch(actions);
+        logDecisions();
+    }
+    if (m_isStepScheduled)
+        return;
+    const Instant next = m_scheduler.nextTick(now);
+    m_stepTimer.expires_after(std::max<Instant::duration>(next - now, kStepDelay));
+    m_stepTimer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
+        const auto self = weak.lock();
+        if (!error && self && !self->m_isStopped)
+            self->step();
+    });
+}
+
+void FleetOwner::logDecisions()
+{
+    for (const Decision &decision : m_scheduler.takeDecisions()) {
+        m_metrics.count(std::string("decisions_") + decision.event + "_total");
+        if (decision.elapsed)
+            m_metrics.observe(std::string(decision.event) + "_seconds", *decision.elapsed);
+        logFields(decision.event, decision.isWarning, decision.fields);
+    }
+}
+
+void FleetOwner::dispatch(std::vector<SchedulerAction> &actions)
+{
+    for (const SchedulerAction &action : actions)
+        std::visit([this](const auto &request) { send(request); }, action);
+}
+
+void FleetOwner::send(const StartCommand &command)
+{
+    m_workerClient.start(
+        addressOf(command.worker), command, [weak = weak_from_this(), command](CallResult result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
+            self->m_scheduler.onStartResult(command, result, bootNow());
+            self->scheduleStep();
+        });
+}
+
+void FleetOwner::send(const StopCommand &command)
+{
+    m_workerClient.stop(
+        addressOf(command.worker), command, [weak = weak_from_this(), command](CallResult result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
+            self->m_scheduler.onStopResult(command, result, bootNow());
+            self->scheduleStep();
+        });
+}
+
+void FleetOwner::send(const CpuLimitCommand &command)
+{
+    m_workerClient.pace(addressOf(command.worker), command,
+                        [weak = weak_from_this(), command](CallResult result) {
+                            const auto self = weak.lock();
+                            if (!self || self->m_isStopped)
+                                return;
+                            self->m_scheduler.onCpuLimitResult(command, result, bootNow());
+                            self->scheduleStep();
+                        });
+}
+
+void FleetOwner::send(const PollRequest &request)
+{
+    m_workerClient.look(
+        addressOf(request.worker), request,
+        [weak = weak_from_this(), request](CallResult result, const WorkerStatus &status,
+                                           Instant sentAt) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
+            self->m_scheduler.onPollResult(request, result, status, sentAt, bootNow());
+            self->scheduleStep();
+        });
+}
+
+void FleetOwner::send(const AdviceRequest &request)
+{
+    if (!m_adviceClient)
+        return;
+    m_adviceClient->ask(request,
+                        [weak = weak_from_this(),
+                         request](const std::optional<platform::AdviceClient::Tickets> &tickets) {
+                            const auto self = weak.lock();
+                            if (!self || self->m_isStopped)
+                                return;
+                            self->m_scheduler.onAdviceResult(
+                                request, tickets.has_value(),
+                                tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
+                            self->scheduleStep();
+                        });
+}
+
+void FleetOwner::send(const ProgressWrite &write)
+{
+    struct Batch
+    {
+        platform::Transaction transaction;
+        std::vector<JobProgress> updates;
+    };
+    std::map<int, Batch> batches;
+    const auto batchOf = [&](JobId id) -> Batch & {
+        const int partition = jobPartition(id);
+        Batch &batch = batches[partition];
+        if (batch.transaction.part.empty()) {
+            batch.transaction.part = jobPartitionName(partition);
+            batch.transaction.expected.push_back(
+                {kFencingTokenTable, kFencingTokenKey,
+                 m_tokenRowVersions[static_cast<std::size_t>(partition)]});
+        }
+        return batch;
+    };
+    for (const JobProgress &update : write.updates) {
+        Batch &batch = batchOf(update.id);
+        const std::string key = jobKey(update.id, JobRow::Progress);
+        // The expected version prevents a delayed write from overwriting a newer one.
+        batch.transaction.expected.push_back({kProgressTable, key, m_progressVersions[update.id]});
+        batch.transaction.writes.push_back({kProgressTable, key, encodeProgress(update)});
+        if (isFinal(update.state))
+            batch.transaction.drops.push_back({kJobTable, jobKey(update.id, JobRow::Spec), {}});
+        batch.updates.push_back(update);
+    }
+    for (const JobId id : write.dropped) {
+        auto &drops = batchOf(id).transaction.drops;
+        drops.push_back({kJobTable, jobKey(id, JobRow::Cancel), {}});
+        drops.push_back({kProgressTable, jobKey(id, JobRow::Cancel), {}});
+        drops.push_back({kProgressTable, jobKey(id, JobRow::Progress), {}});
+    }
+    m_writesInFlight = static_cast<int>(batches.size());
+    m_haveWritesSucceeded = true;
+    for (auto &[partition, batch] : batches) {
+        m_table.transact(
+            batch.transaction, kProgressWriteTimeout,
+            [weak = weak_from_this(), partition = partition, updates = std::move(batch.updates),
+             number = write.batch](const platform::TransactionResult &result) {
+                const auto self = weak.lock();
+                if (!self || self->m_isStopped)
+                    return;
+                self->onBatchWritten(partition, updates, result);
+                if (--self->m_writesInFlight > 0)
+                    return;
+                self->m_scheduler.onProgressWritten(number, self->m_haveWritesSucceeded, bootNow());
+                self->scheduleStep();
+            });
+    }
+}
+
+void FleetOwner::onBatchWritten(int partition, const std::vector<JobProgress> &updates,
+                                const platform::TransactionResult &result)
+{
+    using Outcome = platform::TransactionResult::Outcome;
+    if (result.outcome == Outcome::Done) {
+        for (const JobProgress &update : updates)
+            m_progressVersions[update.id] = result.version;
+        return;
+    }
+    m_haveWritesSucceeded = false;
+    if (result.outcome == Outcome::Conflict) {
+        bool isOurs = false;
+        for (const platform::TableRow &row : result.rows) {
+            if (row.table == kFencingTokenTable)
+                isOurs = row.version == m_tokenRowVersions[static_cast<std::size_t>(partition)];
+            if (const auto key = parseJobKey(row.key); key && key->row == JobRow::Progress)
+                m_progressVersions[key->id] = row.version;
+        }
+        m_isSuperseded = m_isSuperseded || !isOurs;
+    }
+    m_metrics.count("record_retries_total");
+    logWarning("record_not_confirmed",
+               {{"part", std::to_string(partition)},
+                {"jobs", std::to_string(updates.size())},
+                {"conflict", result.outcome == Outcome::Conflict ? "true" : "false"}});
+}
+
+} // namespace oleanderhall
--- /dev/null
+++ b/src/node/fleetowner.h
@@ -0,0 +1,101 @@
+#pragma once
+
+#include "fleetview.h"
+#include "hostcontroller.h"
+#include "nodesettings.h"
+#include "tablewatcher.h"
+
+#include "../../platform/adviceclient.h"
+#include "../../platform/tableclient.h"
+#include "../../platform/workerclient.h"
+
+#include "oleanderhall/ownership/ownership.h"
+#include "oleanderhall/scheduling/scheduler.h"
+
+#include <boost/asio/steady_timer.hpp>
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+
+namespace oleanderhall {
+
+class Metrics;
+
+/// Internal: the work of the fleet's owner during one term. Loads the jobs and the list of workers,
+/// passes events to the Scheduler and executes the actions that it returns. An object is created at
+/// a take-over and stopped when the term ends.
+class FleetOwner : public std::enable_shared_from_this<FleetOwner>
+{
+public:
+    FleetOwner(boost::asio::io_context &io, const NodeSettings &settings,
+               platform::TableClient &table, const Ownership &ownership, const FleetView &view,
+               Metrics &metrics);
+    ~FleetOwner();
+
+    /// Begins to load the jobs and workers; the Scheduler runs once both are loaded.
+    void start();
+    /// Ends all work of this term; answers that arrive later are ignored.
+    void stop();
+    /// Must be called after the configuration or the waves of the FleetView have changed.
+    void viewChanged();
+    /// Returns the number of waiting jobs of each queue; empty until the jobs are loaded.
+    std::vector<QueueLoad> loadByQueue() const;
+    bool isLoaded() const { return m_isLoaded; }
+    /// Returns whether a row or a worker has shown that another process took ownership over.
+    bool isSuperseded() const { return m_isSuperseded; }
+
+private:
+    void fencePartition(int partition);
+    void writeFencingToken(int partition, std::uint64_t knownVersion);
+    void readProgress(int partition, const std::string &from);
+    void applyProgress(const platform::ReadResult &result);
+    void watchJobs();
+    void applyJobs(const TableWatcher::Update &update);
+    void applyWorkerList(const platform::ReadResult &result);
+    void readWorkerList();
+    void dispatch(std::vector<SchedulerAction> &actions);
+    void send(const StartCommand &command);
+    void send(const StopCommand &command);
+    void send(const CpuLimitCommand &command);
+    void send(const PollRequest &request);
+    void send(const AdviceRequest &request);
+    void send(const ProgressWrite &write);
+    void onBatchWritten(int partition, const std::vector<JobProgress> &updates,
+                        const platform::TransactionResult &result);
+    void scheduleStep();
+    void step();
+    void logDecisions();
+    std::string addressOf(WorkerId worker) const;
+
+    boost::asio::io_context &m_io;
+    const NodeSettings &m_settings;
+    platform::TableClient &m_table;
+    const Ownership &m_ownership;
+    const FleetView &m_view;
+    Metrics &m_metrics;
+    TermRecord m_term;
+    Scheduler m_scheduler;
+    platform::WorkerClient m_workerClient;
+    std::unique_ptr<platform::AdviceClient> m_adviceClient;
+    std::shared_ptr<HostController> m_hostController;
+    std::shared_ptr<TableWatcher> m_jobWatcher;
+    /// Progress that was read at the take-over; held until the jobs are loaded.
+    std::map<JobId, JobProgress> m_inheritedProgress;
+    std::vector<std::uint64_t>
+        m_tokenRowVersions; ///< Versions of the fencing token rows, by partition.
+    int m_partitionsToRead = 0;
+    int m_writesInFlight = 0; ///< Transactions of the latest batch of progress.
+    bool m_haveWritesSucceeded = true; ///< Of that batch, so far.
+    std::map<JobId, std::uint64_t> m_progressVersions; ///< Expected by the next progress write.
+    boost::asio::steady_timer m_stepTimer;
+    boost::asio::steady_timer m_workerListTimer;
+    bool m_isStepScheduled = false;
+    bool m_isLoaded = false;
+    bool m_areWorkersListed = false;
+    bool m_isStopped = false;
+    bool m_isSuperseded = false;
+};
+
+} // namespace oleanderhall
--- a/src/node/hostkeeper.cpp
+++ b/src/node/hostcontroller.cpp
@@ -1,4 +1,4 @@
-#include "hostkeeper.h"
+#include "hostcontroller.h"
 
 #include "storednames.h"
 
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr Millis kListEvery{1500};
-constexpr Millis kListSoon{300}; // while hosts move or are maintained
-constexpr Millis kPlanEvery{60};
-constexpr Millis kRecordEvery{300};
-constexpr Millis kWriteTime{1500};
-constexpr Millis kAnnounceTime{700}; // an order that is later than this is planned anew
-constexpr Millis kPauseSlack{200};
-constexpr const char *kIntentKey = "host-orders";
+constexpr Millis kHostListInterval{1500};
+constexpr Millis kShortHostListInterval{300}; // while hosts are moved or maintained
+constexpr Millis kPlanInterval{60};
+constexpr Millis kRecordInterval{300};
+constexpr Millis kTableTimeout{1500};
+constexpr Millis kCommandRecordTimeout{700}; // commands not recorded in time are planned again
+constexpr Millis kCommandPauseMargin{200};
+constexpr const char *kHostCommandsKey = "host-orders";
 
 const char *nameOf(HostOrderResult result)
 {
@@ -70,80 +70,83 @@
 
 } // namespace
 
-HostKeeper::HostKeeper(boost::asio::io_context &io, const NodeSettings &settings,
-                       platform::TableClient &table, const Ownership &ownership,
-                       const FleetView &view, Scheduler &scheduler, Metrics &metrics)
+HostController::HostController(boost::asio::io_context &io, const NodeSettings &settings,
+                               platform::TableClient &table, const Ownership &ownership,
+                               const FleetView &view, Scheduler &scheduler, Metrics &metrics)
     : m_settings(settings)
     , m_table(table)
     , m_ownership(ownership)
     , m_view(view)
     , m_scheduler(scheduler)
-    , m_client(io, settings.hosts, settings.id.name(), metrics)
+    , m_client(io, settings.hostServiceAddress, settings.id.name(), metrics)
     , m_planner(plannerSettings(settings))
     , m_listTimer(io)
 {}
 
-void HostKeeper::start()
+void HostController::start()
 {
-    readList();
-    readIntents();
+    readHostList();
+    readRecordedCommands();
 }
 
-void HostKeeper::readIntents()
+void HostController::readRecordedCommands()
 {
-    m_table.read(kControlTable, kOwnPart, kIntentKey, std::string(kIntentKey) + " ", kWriteTime,
+    m_table.read(kControlTable, kControlPartition, kHostCommandsKey,
+                 std::string(kHostCommandsKey) + " ", kTableTimeout,
                  [weak = weak_from_this()](const platform::ReadResult &result) {
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
+                     // Retried at once: a failed call usually lasts until its timeout.
                      if (!result.isAnswered)
-                         self->readIntents(); // a call takes its time even when it fails
+                         self->readRecordedCommands();
                      else
-                         self->takeIntents(result);
+                         self->applyRecordedCommands(result);
                  });
 }
 
-void HostKeeper::takeIntents(const platform::ReadResult &result)
+void HostController::applyRecordedCommands(const platform::ReadResult &result)
 {
     const Instant now = bootNow();
-    m_areIntentsRead = true;
+    m_areRecordedCommandsRead = true;
     for (const platform::TableRow &row : result.rows) {
         try {
-            const web::json::value intents = web::json::value::parse(row.value);
-            for (const auto &[host, time] : intents.as_object()) {
+            const web::json::value commandTimes = web::json::value::parse(row.value);
+            for (const auto &[host, time] : commandTimes.as_object()) {
                 const Millis age(result.clockMs - time.as_number().to_int64());
-                m_planner.pause(HostId(host), now - age + m_settings.hostOrderPause + kPauseSlack);
+                m_planner.pause(HostId(host),
+                                now - age + m_settings.hostCommandPause + kCommandPauseMargin);
             }
-        } catch (const web::json::json_exception &error) {
-            logWarning("host_intents_unreadable", {{"reason", error.what()}});
+        } catch (const web::json::json_exception &parseError) {
+            logWarning("host_intents_unreadable", {{"reason", parseError.what()}});
         }
     }
 }
 
-/// Orders to hosts are written down before they are sent, so that a next owner knows which hosts
-/// to leave alone for a while.
-void HostKeeper::announce(const std::vector<HostOrder> &orders, Instant now)
+/// Stores host commands before they are sent, so that the next owner knows to which hosts it must
+/// not send commands for a while.
+void HostController::recordAndSend(const std::vector<HostOrder> &commands, Instant now)
 {
-    if (orders.empty())
+    if (commands.empty())
         return;
     const std::int64_t time = m_view.tableTime(now);
-    std::erase_if(m_intents, [&](const auto &entry) {
-        return entry.second + 2 * m_settings.hostOrderPause.count() < time;
+    std::erase_if(m_commandTimes, [&](const auto &entry) {
+        return entry.second + 2 * m_settings.hostCommandPause.count() < time;
     });
     std::vector<std::pair<HostOrder, WorkerId>> pending;
-    for (const HostOrder &order : orders) {
-        const WorkerId worker = m_workers[order.host];
-        m_intents[order.host] = time;
+    for (const HostOrder &command : commands) {
+        const WorkerId worker = m_workerOfHost[command.host];
+        m_commandTimes[command.host] = time;
         m_scheduler.setTerminating(worker, true);
-        pending.emplace_back(order, worker);
+        pending.emplace_back(command, worker);
     }
     web::json::value record = web::json::value::object();
-    for (const auto &[host, when] : m_intents)
+    for (const auto &[host, when] : m_commandTimes)
         record[host.name()] = web::json::value(when);
-    platform::Transaction transaction{.part = kOwnPart};
+    platform::Transaction transaction{.part = kControlPartition};
     transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
-    transaction.writes.push_back({kControlTable, kIntentKey, record.serialize()});
-    m_table.transact(transaction, kAnnounceTime,
+    transaction.writes.push_back({kControlTable, kHostCommandsKey, record.serialize()});
+    m_table.transact(transaction, kCommandRecordTimeout,
                      [weak = weak_from_this(), pending](const platform::TransactionResult &result) {
                          const auto self = weak.lock();
                          if (!self || self->m_isStopped)
@@ -151,51 +154,52 @@
                          const bool maySend = result.outcome
                                  == platform::TransactionResult::Outcome::Done
                              && self->m_ownership.mayAct(bootNow());
-                         for (const auto &[order, worker] : pending) {
+                         for (const auto &[command, worker] : pending) {
                              if (maySend)
-                                 self->send(order, worker);
+                                 self->send(command, worker);
                              else
-                                 self->answered(order, worker, HostOrderResult::Refused);
+                                 self->onCommandAnswered(command, worker, HostOrderResult::Refused);
                          }
                      });
 }
 
-void HostKeeper::stop()
+void HostController::stop()
 {
     m_isStopped = true;
     m_listTimer.cancel();
 }
 
-bool HostKeeper::isWaiting() const
+bool HostController::hasPendingChanges() const
 {
     return m_planner.isWaiting(bootNow());
 }
 
-void HostKeeper::readList()
+void HostController::readHostList()
 {
     m_client.list([weak = weak_from_this(),
-                   asked = bootNow()](const std::optional<std::vector<HostInfo>> &hosts) {
+                   requestedAt = bootNow()](const std::optional<std::vector<HostInfo>> &hosts) {
         const auto self = weak.lock();
         if (!self || self->m_isStopped)
             return;
         if (hosts)
-            self->takeList(*hosts, asked);
+            self->applyHostList(*hosts, requestedAt);
         else
             logWarning("host_list_not_read");
-        self->m_listTimer.expires_after(self->isWaiting() ? kListSoon : kListEvery);
-        self->m_listTimer.async_wait([weak](const boost::system::error_code &failed) {
-            const auto again = weak.lock();
-            if (!failed && again && !again->m_isStopped)
-                again->readList();
+        self->m_listTimer.expires_after(self->hasPendingChanges() ? kShortHostListInterval
+                                                                  : kHostListInterval);
+        self->m_listTimer.async_wait([weak](const boost::system::error_code &error) {
+            const auto strong = weak.lock();
+            if (!error && strong && !strong->m_isStopped)
+                strong->readHostList();
         });
     });
 }
 
-void HostKeeper::takeList(const std::vector<HostInfo> &hosts, Instant asked)
+void HostController::applyHostList(const std::vector<HostInfo> &hosts, Instant requestedAt)
 {
     const Instant now = bootNow();
     m_planner.takeHosts(hosts, now);
-    for (const OrderedLives::Verdict &verdict : m_lives.judge(hosts, asked)) {
+    for (const OrderedLives::Verdict &verdict : m_endVerifier.judge(hosts, requestedAt)) {
         if (verdict.hasEnded) {
             m_scheduler.onWorkerTerminated(verdict.worker, now);
             continue;
@@ -204,11 +208,11 @@
                 {{"host", verdict.host.name()}, {"worker", verdict.worker.name()}});
         m_scheduler.setTerminating(verdict.worker, false);
     }
-    m_workers.clear();
+    m_workerOfHost.clear();
     std::map<ServiceId, std::vector<WorkerId>> expected;
     for (const HostInfo &host : hosts) {
-        m_workers[host.id] = host.worker;
-        noteState(host);
+        m_workerOfHost[host.id] = host.worker;
+        updateState(host);
         std::vector<WorkerId> &workers = expected[host.pool];
         if (!host.worker.empty() && host.state != HostInfo::State::Down)
             workers.push_back(host.worker);
@@ -217,104 +221,107 @@
         m_scheduler.setExpectedWorkers(pool, std::move(workers));
 }
 
-void HostKeeper::noteState(const HostInfo &host)
+void HostController::updateState(const HostInfo &host)
 {
-    const auto known = m_states.find(host.id);
-    if (known != m_states.end() && known->second == host.state)
+    const auto known = m_hostStates.find(host.id);
+    if (known != m_hostStates.end() && known->second == host.state)
         return;
-    if (known != m_states.end() || host.state != HostInfo::State::Up)
+    if (known != m_hostStates.end() || host.state != HostInfo::State::Up)
         logInfo("host_state",
                 {{"host", host.id.name()},
                  {"worker", host.worker.name()},
                  {"pool", host.pool.name()},
                  {"state", nameOf(host.state)}});
-    m_states[host.id] = host.state;
+    m_hostStates[host.id] = host.state;
 }
 
-WorkerUse HostKeeper::useOf(WorkerId id) const
+WorkerUse HostController::workerUsage(WorkerId id) const
 {
     const auto found = m_scheduler.workers().find(id);
     if (found == m_scheduler.workers().end())
         return {};
-    constexpr double kMilli = 1000;
+    constexpr double kMilliCoresPerCore = 1000;
     const WorkerState &worker = found->second;
-    WorkerUse use{.isKnown = worker.isListed && worker.isSynced && !worker.isTerminating,
-                  .isEmpty = worker.runs.empty(),
-                  .mayInterrupt = m_scheduler.mayInterrupt(id)};
+    WorkerUse usage{.isKnown = worker.isListed && worker.isSynced && !worker.isTerminating,
+                    .isEmpty = worker.runs.empty(),
+                    .mayInterrupt = m_scheduler.mayInterrupt(id)};
     for (const WorkerRun &run : worker.runs) {
         if (!run.isLongRunning)
-            use.batchCores += std::max(1.0,
-                                       static_cast<double>(run.reservation.milliCores) / kMilli);
+            usage.batchCores += std::max(
+                1.0, static_cast<double>(run.reservation.milliCores) / kMilliCoresPerCore);
     }
-    return use;
+    return usage;
 }
 
-void HostKeeper::step(Instant now)
+void HostController::step(Instant now)
 {
-    if (now < m_planDue || !m_areIntentsRead)
+    if (now < m_nextPlan || !m_areRecordedCommandsRead)
         return;
-    m_planDue = now + kPlanEvery;
+    m_nextPlan = now + kPlanInterval;
     if (m_view.config)
         m_planner.setPools(m_view.config->pools);
     for (const auto &[number, wave] : m_view.waves) {
-        const auto known = m_view.maintained.find(number);
-        m_planner.addWave(wave, m_view.waveSeen.at(number),
-                          known == m_view.maintained.end() ? std::set<HostId>() : known->second);
+        const auto known = m_view.maintainedHosts.find(number);
+        m_planner.addWave(wave, m_view.waveSeenAt.at(number),
+                          known == m_view.maintainedHosts.end() ? std::set<HostId>()
+                                                                : known->second);
     }
     const HostPlanner::Plan plan = m_planner.plan(
-        m_scheduler.poolDemands(now), [this](WorkerId worker) { return useOf(worker); }, now);
+        m_scheduler.poolDemands(now), [this](WorkerId worker) { return workerUsage(worker); }, now);
     m_scheduler.cordon(plan.cordoned);
     m_scheduler.setAwaitingMaintenance(plan.dueSoon);
     m_scheduler.evacuate(plan.evacuated, now);
-    announce(plan.orders, now);
+    recordAndSend(plan.orders, now);
     for (const auto &[wave, isCompleted] : plan.waveStates)
-        m_unpublished[wave] = isCompleted;
-    publish();
-    recordMaintained(now);
+        m_unpublishedWaveStates[wave] = isCompleted;
+    publishWaveState();
+    recordMaintainedHosts(now);
 }
 
-void HostKeeper::send(const HostOrder &order, WorkerId worker)
+void HostController::send(const HostOrder &command, WorkerId worker)
 {
     logInfo("host_ordered",
-            {{"host", order.host.name()},
+            {{"host", command.host.name()},
              {"worker", worker.name()},
-             {"pool", order.pool.name()},
-             {"wave", std::to_string(order.wave)},
-             {"reason", order.reason}});
-    const auto done = [weak = weak_from_this(), order, worker](HostOrderResult result) {
+             {"pool", command.pool.name()},
+             {"wave", std::to_string(command.wave)},
+             {"reason", command.reason}});
+    const auto done = [weak = weak_from_this(), command, worker](HostOrderResult result) {
         const auto self = weak.lock();
         if (self && !self->m_isStopped)
-            self->answered(order, worker, result);
+            self->onCommandAnswered(command, worker, result);
     };
     const std::uint64_t token = m_ownership.term().version;
-    if (order.isMove())
-        m_client.move(order.host, order.pool, token, done);
+    if (command.isMove())
+        m_client.move(command.host, command.pool, token, done);
     else
-        m_client.maintain(order.host, order.wave, token, done);
+        m_client.maintain(command.host, command.wave, token, done);
 }
 
-void HostKeeper::answered(const HostOrder &order, WorkerId worker, HostOrderResult result)
+void HostController::onCommandAnswered(const HostOrder &command, WorkerId worker,
+                                       HostOrderResult result)
 {
     const Instant now = bootNow();
     logFields("host_order_answered", result != HostOrderResult::Done,
-              {{"host", order.host.name()}, {"result", nameOf(result)}});
-    m_planner.orderAnswered(order, result, now);
+              {{"host", command.host.name()}, {"result", nameOf(result)}});
+    m_planner.orderAnswered(command, result, now);
+    // The next list of hosts shows whether this command ended the worker.
     if (result == HostOrderResult::Done)
-        m_lives.orderDone(order.host, worker, now); // the next list tells whether it ended just now
+        m_endVerifier.orderDone(command.host, worker, now);
     else
         m_scheduler.setTerminating(worker, false);
 }
 
-void HostKeeper::publish()
+void HostController::publishWaveState()
 {
-    if (m_isPublishing || m_unpublished.empty())
+    if (m_isPublishing || m_unpublishedWaveStates.empty())
         return;
-    const auto [wave, isCompleted] = *m_unpublished.begin();
+    const auto [wave, isCompleted] = *m_unpublishedWaveStates.begin();
     m_isPublishing = true;
     platform::Transaction transaction;
     transaction.writes.push_back({platform::kStatusTable, platform::waveStatusKey(wave),
                                   platform::encodeWaveStatus(isCompleted)});
-    m_table.transact(transaction, kWriteTime,
+    m_table.transact(transaction, kTableTimeout,
                      [weak = weak_from_this(), wave = wave,
                       isCompleted = isCompleted](const platform::TransactionResult &result) {
                          const auto self = weak.lock();
@@ -322,35 +329,37 @@
                              return;
                          self->m_isPublishing = false;
                          if (result.outcome != platform::TransactionResult::Outcome::Done)
-                             return; // written again with the next plan
+                             return; // retried with the next plan
                          logInfo("wave_state",
                                  {{"wave", std::to_string(wave)},
                                   {"completed", isCompleted ? "true" : "false"}});
-                         const auto found = self->m_unpublished.find(wave);
-                         if (found != self->m_unpublished.end() && found->second == isCompleted)
-                             self->m_unpublished.erase(found);
+                         const auto found = self->m_unpublishedWaveStates.find(wave);
+                         if (found != self->m_unpublishedWaveStates.end()
+                             && found->second == isCompleted)
+                             self->m_unpublishedWaveStates.erase(found);
                      });
 }
 
-void HostKeeper::recordMaintained(Instant now)
+void HostController::recordMaintainedHosts(Instant now)
 {
-    if (m_isRecording || now < m_recordDue)
+    if (m_isRecording || now < m_nextRecord)
         return;
-    m_recordDue = now + kRecordEvery;
+    m_nextRecord = now + kRecordInterval;
     for (const auto &[number, wave] : m_view.waves) {
         const std::set<HostId> maintained = m_planner.maintained(number);
-        if (maintained.size() <= m_recorded[number])
+        if (maintained.size() <= m_recordedHostCounts[number])
             continue;
         web::json::value list = web::json::value::array();
         std::size_t index = 0;
         for (const HostId host : maintained)
             list[index++] = web::json::value(host.name());
-        platform::Transaction transaction{.part = kOwnPart};
+        platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
-        transaction.writes.push_back(
-            {kControlTable, std::string(kWavePrefix) + std::to_string(number), list.serialize()});
+        transaction.writes.push_back({kControlTable,
+                                      std::string(kMaintainedHostsPrefix) + std::to_string(number),
+                                      list.serialize()});
         m_isRecording = true;
-        m_table.transact(transaction, kWriteTime,
+        m_table.transact(transaction, kTableTimeout,
                          [weak = weak_from_this(), number = number,
                           count = maintained.size()](const platform::TransactionResult &result) {
                              const auto self = weak.lock();
@@ -358,7 +367,7 @@
                                  return;
                              self->m_isRecording = false;
                              if (result.outcome == platform::TransactionResult::Outcome::Done)
-                                 self->m_recorded[number] = count;
+                                 self->m_recordedHostCounts[number] = count;
                          });
         return;
     }
--- a/src/node/jobwriter.h
+++ b/src/node/jobwriter.h
@@ -17,65 +17,66 @@
 
 namespace oleanderhall {
 
-/// Internal: what became of a job that was to be stored.
+/// Internal: the result of storing a job.
 enum class StoreOutcome {
     Stored,
-    AlreadyStored, ///< A job with this id stands there; it is the same job.
+    AlreadyStored, ///< A job with this id exists; it is the same job.
     Refused, ///< Certainly not stored.
-    Unknown, ///< It may be stored, or may be later.
+    Unknown, ///< It may be stored already, or may still be.
 };
 
-/// Internal: stores accepted jobs. Jobs that arrive while a transaction is under way go together in
-/// the next one, as a slow table takes few transactions a second. A caller whose time runs out is
-/// answered, but its transaction goes on: given up ones would fill the table's queue for nothing.
+/// Internal: stores accepted jobs in batches. Jobs that arrive while a transaction is in flight go
+/// together into the next one, as a slow table executes few transactions a second. A caller is
+/// answered at its deadline, but its transaction continues: an abandoned one would still occupy the
+/// table's queue.
 class JobWriter
 {
 public:
     using Done = std::function<void(StoreOutcome, std::uint64_t version)>;
 
-    /// `part` is the table's part in which the jobs lie.
-    JobWriter(boost::asio::io_context &io, platform::TableClient &table, std::string part);
+    /// Writes to one `partition` of the job tables; every stored job must belong to it.
+    JobWriter(boost::asio::io_context &io, platform::TableClient &table, std::string partition);
 
-    /// Stores `job` and calls `done` once, by `latest` at the latest. The same job may be stored by
-    /// several calls at once.
-    void store(const JobSpec &job, Instant latest, Done done);
+    /// Stores `job` and calls `done` once, shortly after `deadline` at the latest. Concurrent calls
+    /// may store the same job.
+    void store(const JobSpec &job, Instant deadline, Done done);
 
-    /// Returns the time until a job that arrives now is stored, as far as is known.
-    Millis expected(Instant now) const { return m_storeTime.expected(now); }
+    /// Returns the estimated time to store a job that arrives now.
+    Millis expectedDelay(Instant now) const { return m_storeTime.expected(now); }
 
 private:
-    struct Caller
+    struct WaitingCaller
     {
-        Instant latest;
+        Instant deadline;
         Done done;
     };
-    struct Waiting
+    struct PendingJob
     {
         JobId id;
         std::string spec;
         std::string progress;
-        std::vector<Caller> callers;
+        std::vector<WaitingCaller> callers;
         bool mayBeStored = false;
     };
-    using WaitingPtr = std::shared_ptr<Waiting>;
-    using Batch = std::vector<WaitingPtr>;
+    using PendingJobPtr = std::shared_ptr<PendingJob>;
+    using Batch = std::vector<PendingJobPtr>;
 
-    void send();
-    void answered(const Batch &batch, const platform::TransactionResult &result);
-    void finish(const WaitingPtr &waiting, StoreOutcome outcome, std::uint64_t version);
-    void giveUpLate();
-    void watch();
+    void sendBatch();
+    void onBatchAnswered(const Batch &batch, const platform::TransactionResult &result);
+    void complete(const PendingJobPtr &pending, StoreOutcome outcome, std::uint64_t version);
+    void expireCallers();
+    void scheduleDeadlineCheck();
 
     platform::TableClient &m_table;
-    std::string m_part;
+    std::string m_partition;
     boost::asio::steady_timer m_retryTimer;
-    boost::asio::steady_timer m_lateTimer;
-    std::map<JobId, WaitingPtr> m_jobs; ///< Queued or under way.
-    std::deque<WaitingPtr> m_queue;
+    boost::asio::steady_timer m_deadlineTimer;
+    std::map<JobId, PendingJobPtr> m_jobs; ///< Queued or in flight.
+    std::deque<PendingJobPtr> m_queue;
     bool m_isInFlight = false;
     StoreTime m_storeTime;
-    bool m_isPausing = false;
-    bool m_isWatching = false;
+    bool m_isBackingOff = false;
+    bool m_isDeadlineCheckScheduled = false;
 };
 
 } // namespace oleanderhall
