--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -99,8 +99,8 @@
 {
     Observations seen;
     for (const HostId host : state.hostsOf(pool)) {
-        HostObservation observation{.health = Health::Fit, .workerEpoch = {1}};
-        observation.seenAt = state.sequence();
+        HostObservation observation{.health = Health::Healthy, .workerEpoch = {1}};
+        observation.observedAt = state.sequence();
         observation.activeInstances = 1;
         for (const InstanceRecord &instance : state.record(host)->instances)
             observation.running.push_back(instance.service);
--- a/include/oleanderhall/fleet/poolbudget.h
+++ b/include/oleanderhall/fleet/disruptionbudget.h
@@ -9,20 +9,20 @@
 
 namespace oleanderhall {
 
-/// A PoolBudget counts what a pool has left of its availability budget, planned and unplanned
+/// A DisruptionBudget counts what a pool has left of its availability budget, planned and unplanned
 /// unavailability together. Count it anew for each decision; admit() keeps it right within one.
-class PoolBudget
+class DisruptionBudget
 {
 public:
     /// Counts the hosts of `pool`. A host that serves but isn't seen fit counts as unavailable.
-    PoolBudget(const FleetState &state, PoolId pool, const Observations &seen);
+    DisruptionBudget(const FleetState &state, PoolId pool, const Observations &observations);
 
     /// Returns why `host` may not be taken out now, or nothing when it may.
-    std::optional<std::string> refusal(HostId host) const;
+    std::optional<std::string> refusalReason(HostId host) const;
     /// Counts `host` as taken out by plan.
-    void admit(HostId host);
+    void recordDisruption(HostId host);
     /// Counts a host that was found lost as unavailable.
-    void lose(const HostRecord &record);
+    void recordLoss(const HostRecord &record);
 
     int available() const { return m_available; }
     int unavailable() const { return m_unavailable; }
@@ -32,7 +32,7 @@
     RackId rackOf(HostId host) const;
 
     const FleetState &m_state;
-    const Observations &m_seen;
+    const Observations &m_observations;
     PoolRule m_rule;
     int m_available = 0;
     int m_unavailable = 0;
--- a/include/oleanderhall/fleet/observations.h
+++ b/include/oleanderhall/fleet/observations.h
@@ -9,7 +9,7 @@
 namespace oleanderhall {
 
 /// What is known of a host's fitness. Unknown counts as unavailable in every budget.
-enum class Health { Unknown, Fit, Unfit };
+enum class Health { Unknown, Healthy, Unhealthy };
 
 /// What was last seen of one host.
 struct HostObservation
@@ -20,33 +20,33 @@
     Epoch bootEpoch; ///< The epoch of the last reboot that has ended.
     std::vector<ServiceId> running; ///< Services whose instance accepts connections.
     int activeInstances = 0; ///< Instances that run or still finish requests.
-    Sequence seenAt; ///< The state's sequence when the observation began.
+    Sequence observedAt; ///< The state's sequence when the observation began.
 };
 
 /// What was last seen of one entry host.
-struct EntryObservation
+struct EntryHostObservation
 {
     EntryId id;
     ZoneId zone;
     Sequence acknowledged; ///< The entry host dispatches only by views at least this new.
-    bool lapsed = false; ///< Its view lease ended: it serves only upstreams of its own zone.
+    bool leaseExpired = false; ///< Its view lease ended: it serves only upstreams of its own zone.
 };
 
 /// Everything from outside that a decision about hosts may use.
 struct Observations
 {
     std::map<HostId, HostObservation> hosts;
-    std::vector<EntryObservation> entries;
-    Sequence entriesSeenAt; ///< The state's sequence when the entry hosts were listed.
+    std::vector<EntryHostObservation> entryHosts;
+    Sequence entryHostsObservedAt; ///< The state's sequence when the entry hosts were listed.
 
     /// Returns what was seen of the record's host since the record was written. An observation that
     /// is older than the record says nothing about it, so the host is Unknown then.
-    HostObservation of(const HostRecord &record) const
+    HostObservation currentFor(const HostRecord &record) const
     {
         const auto found = hosts.find(record.id);
         if (found == hosts.end())
             return {};
-        if (found->second.seenAt >= record.changedAt)
+        if (found->second.observedAt >= record.changedAt)
             return found->second;
         return {.leaving = found->second.leaving};
     }
@@ -54,6 +54,6 @@
 
 /// Says whether a host that answers has lost what its record says it runs, as after a restart of
 /// its own.
-bool hasLostTasks(const HostRecord &record, const Observations &seen);
+bool hasLostInstances(const HostRecord &record, const Observations &observations);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/poolplan.h
+++ b/include/oleanderhall/fleet/poolplan.h
@@ -16,7 +16,7 @@
     std::vector<Change> changes;
     std::string reason;
     std::vector<WorkerCommand> commands;
-    std::map<HostId, std::string> waiting;
+    std::map<HostId, std::string> waitReasons;
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/poolplanner.h
+++ b/include/oleanderhall/fleet/poolplanner.h
@@ -31,22 +31,22 @@
 
     /// Decides on `state`. The plan's changes must be committed as the entry that follows
     /// `state.sequence()`, or not at all.
-    PoolPlan decide(const FleetState &state, const Observations &seen, Instant now);
+    PoolPlan decide(const FleetState &state, const Observations &observations, Instant now);
 
     PoolId pool() const { return m_pool; }
 
 private:
-    struct Sighting
+    struct ObservedChange
     {
         Sequence changedAt;
-        Instant since;
+        Instant firstSeen;
     };
 
     Millis timeSinceChange(const HostRecord &record, Instant now);
 
     PoolId m_pool;
     PlannerSettings m_settings;
-    std::map<HostId, Sighting> m_sightings;
+    std::map<HostId, ObservedChange> m_observedChanges;
     std::map<HostId, int> m_startFailures;
 };
 
--- a/include/oleanderhall/fleet/workercommand.h
+++ b/include/oleanderhall/fleet/workercommand.h
@@ -11,13 +11,13 @@
 struct WorkerCommand
 {
     enum class Kind {
-        Run, ///< Run an instance of exactly these services; stop others gracefully.
+        SetServices, ///< Run an instance of exactly these services; stop others gracefully.
         Reboot, ///< Reboot once for this epoch.
     };
 
     HostId host;
     Epoch epoch;
-    Kind kind = Kind::Run;
+    Kind kind = Kind::SetServices;
     std::vector<ServiceId> services;
 
     friend bool operator==(const WorkerCommand &, const WorkerCommand &) = default;
--- a/include/oleanderhall/membership/membertable.h
+++ b/include/oleanderhall/membership/membertable.h
@@ -30,7 +30,7 @@
     std::vector<MemberRow> live(Instant now) const;
     /// Returns every row as last read, however old.
     std::vector<MemberRow> all() const;
-    std::vector<EntryObservation> observations(Instant now) const;
+    std::vector<EntryHostObservation> observations(Instant now) const;
     /// Returns the ids whose rows have not changed for `age`.
     std::vector<EntryId> silentFor(Millis age, Instant now) const;
     Sequence seenAt() const { return m_seenAt; }
--- a/include/oleanderhall/rollout/changelog.h
+++ b/include/oleanderhall/rollout/changelog.h
@@ -50,7 +50,7 @@
         parseLogEntry(data);
         const bool isLarge = data.size() > kMaxInlineBytes;
         try {
-            if (const auto base = newBase(entry, head, isLarge)) {
+            if (const auto base = newBaseKey(entry, head, isLarge)) {
                 m_store.put(*base, toJson(configAfter).serialize());
                 next.baseKey = *base;
                 next.baseVersion = next.config;
@@ -91,12 +91,12 @@
         const LogHead head = readHead();
         Register config = loadConfig(head);
         std::vector<HostRecord> hosts;
-        eachItem("host", "", [&hosts](const TableItem &item) {
+        forEachItem("host", "", [&hosts](const TableItem &item) {
             hosts.push_back(parseHostRow(item.data, {item.version}));
         });
         std::vector<WaveRecord> waves;
-        eachItem("wave", "",
-                 [&waves](const TableItem &item) { waves.push_back(parseWaveRow(item.data)); });
+        forEachItem("wave", "",
+                    [&waves](const TableItem &item) { waves.push_back(parseWaveRow(item.data)); });
         FleetState state;
         state.restore(head.sequence, head.config, std::move(config), std::move(hosts), waves);
         return state;
@@ -109,8 +109,9 @@
             const auto item = m_table.read({kLogPartition, rowOf(entry.sequence)});
             if (!item)
                 return AppendOutcome::Unknown;
-            const bool isOurs = parseLogEntry(resolve(item->data)).operation == entry.operation;
-            return isOurs ? AppendOutcome::Committed : AppendOutcome::Conflict;
+            const bool isThisEntry = parseLogEntry(resolve(item->data)).operation
+                == entry.operation;
+            return isThisEntry ? AppendOutcome::Committed : AppendOutcome::Conflict;
         } catch (const PlatformUnavailable &) {
             return AppendOutcome::Unknown;
         }
@@ -127,7 +128,7 @@
         Register config;
         if (!head.baseKey.empty())
             applyPatch(config, parsePatchText(m_store.fetch(head.baseKey)));
-        eachItem("config", rowOf(Sequence{head.baseVersion.value}), [&](const TableItem &item) {
+        forEachItem("config", rowOf(Sequence{head.baseVersion.value}), [&](const TableItem &item) {
             if (item.key.row <= rowOf(Sequence{head.config.value}))
                 applyPatch(config, parsePatchText(item.data));
         });
@@ -135,7 +136,7 @@
     }
 
     template <typename Visit>
-    void eachItem(const std::string &partition, std::string after, const Visit &visit)
+    void forEachItem(const std::string &partition, std::string after, const Visit &visit)
     {
         for (;;) {
             const TablePage page = m_table.query({.partition = partition, .after = after});
--- a/include/oleanderhall/rollout/logcodec.h
+++ b/include/oleanderhall/rollout/logcodec.h
@@ -22,7 +22,7 @@
 /// Returns the head after `entry`, its base unchanged.
 LogHead nextHead(const LogHead &head, const LogEntry &entry);
 /// Returns the key for a new whole configuration when `entry` should write one.
-std::optional<std::string> newBase(const LogEntry &entry, const LogHead &head, bool isLarge);
+std::optional<std::string> newBaseKey(const LogEntry &entry, const LogHead &head, bool isLarge);
 std::vector<TableWrite> writesFor(const LogEntry &entry, const std::string &data,
                                   const LogHead &head, const LogHead &next);
 std::string encodeReference(const std::string &key);
--- a/src/daemon/controllerdecisions.cpp
+++ b/src/daemon/controllerdecisions.cpp
@@ -34,8 +34,8 @@
         return std::find(owned.begin(), owned.end(), item.first) == owned.end();
     });
     Observations seen{.hosts = m_watcher.observations(now),
-                      .entries = m_members.observations(now),
-                      .entriesSeenAt = m_members.seenAt()};
+                      .entryHosts = m_members.observations(now),
+                      .entryHostsObservedAt = m_members.seenAt()};
     {
         const std::unique_lock lock(m_stateMutex);
         m_waiting.clear();
@@ -54,7 +54,7 @@
         m_watcher.send(command, WorkerClient::bodyOf(command, m_state.config()));
     {
         const std::unique_lock lock(m_stateMutex);
-        m_waiting.insert(plan.waiting.begin(), plan.waiting.end());
+        m_waiting.insert(plan.waitReasons.begin(), plan.waitReasons.end());
     }
     if (plan.changes.empty())
         return true;
--- a/src/daemon/hostwatcher.cpp
+++ b/src/daemon/hostwatcher.cpp
@@ -132,7 +132,7 @@
     }
     try {
         HostObservation seen = m_client.observe(job.host);
-        seen.seenAt = sequence;
+        seen.observedAt = sequence;
         record(job.host, seen);
     } catch (const std::exception &) {
         record(job.host, std::nullopt);
@@ -158,8 +158,8 @@
     }
     if (++watch.failures < kFailuresUntilUnfit)
         return;
-    watch.seen.health = Health::Unfit;
-    watch.seen.seenAt = sequence;
+    watch.seen.health = Health::Unhealthy;
+    watch.seen.observedAt = sequence;
     watch.seenAt = timeNow();
 }
 
--- a/src/fleet/poolbudget.cpp
+++ b/src/fleet/disruptionbudget.cpp
@@ -1,10 +1,11 @@
-#include "oleanderhall/fleet/poolbudget.h"
+#include "oleanderhall/fleet/disruptionbudget.h"
 
 namespace oleanderhall {
 
-PoolBudget::PoolBudget(const FleetState &state, PoolId pool, const Observations &seen)
+DisruptionBudget::DisruptionBudget(const FleetState &state, PoolId pool,
+                                   const Observations &observations)
     : m_state(state)
-    , m_seen(seen)
+    , m_observations(observations)
 {
     const auto rule = state.config().pools.find(pool);
     if (rule != state.config().pools.end())
@@ -20,7 +21,7 @@
     }
 }
 
-std::optional<std::string> PoolBudget::refusal(HostId host) const
+std::optional<std::string> DisruptionBudget::refusalReason(HostId host) const
 {
     const HostRecord *record = m_state.record(host);
     if (record && !isAvailable(*record))
@@ -37,20 +38,21 @@
     return std::nullopt;
 }
 
-void PoolBudget::admit(HostId host)
+void DisruptionBudget::recordDisruption(HostId host)
 {
     --m_available;
     ++m_unavailable;
     m_disruptedRacks.insert(rackOf(host));
 }
 
-bool PoolBudget::isAvailable(const HostRecord &record) const
+bool DisruptionBudget::isAvailable(const HostRecord &record) const
 {
-    return record.state == HostState::Serving && m_seen.of(record).health == Health::Fit
-        && !hasLostTasks(record, m_seen);
+    return record.state == HostState::Serving
+        && m_observations.currentFor(record).health == Health::Healthy
+        && !hasLostInstances(record, m_observations);
 }
 
-void PoolBudget::lose(const HostRecord &record)
+void DisruptionBudget::recordLoss(const HostRecord &record)
 {
     if (!isAvailable(record))
         return;
@@ -58,7 +60,7 @@
     ++m_unavailable;
 }
 
-RackId PoolBudget::rackOf(HostId host) const
+RackId DisruptionBudget::rackOf(HostId host) const
 {
     const HostSpec *spec = m_state.spec(host);
     // A host that left the register keeps a domain of its own, the strictest reading.
--- a/src/fleet/observations.cpp
+++ b/src/fleet/observations.cpp
@@ -4,10 +4,10 @@
 
 namespace oleanderhall {
 
-bool hasLostTasks(const HostRecord &record, const Observations &seen)
+bool hasLostInstances(const HostRecord &record, const Observations &observations)
 {
-    const HostObservation host = seen.of(record);
-    if (host.health != Health::Fit)
+    const HostObservation host = observations.currentFor(record);
+    if (host.health != Health::Healthy)
         return false;
     if (host.workerEpoch < record.epoch)
         return true;
--- a/src/fleet/poolplanner.cpp
+++ b/src/fleet/poolplanner.cpp
@@ -9,9 +9,9 @@
     , m_settings(settings)
 {}
 
-PoolPlan PoolPlanner::decide(const FleetState &state, const Observations &seen, Instant now)
+PoolPlan PoolPlanner::decide(const FleetState &state, const Observations &observations, Instant now)
 {
-    PoolStep step(state, seen, m_pool, m_settings, m_startFailures);
+    PoolStep step(state, observations, m_pool, m_settings, m_startFailures);
     for (const HostId host : state.hostsOf(m_pool)) {
         const HostRecord &record = *state.record(host);
         step.progress(record, timeSinceChange(record, now));
@@ -25,11 +25,12 @@
 
 Millis PoolPlanner::timeSinceChange(const HostRecord &record, Instant now)
 {
-    Sighting &sighting = m_sightings.try_emplace(record.id, Sighting{record.changedAt, now})
-                             .first->second;
+    ObservedChange &sighting = m_observedChanges
+                                   .try_emplace(record.id, ObservedChange{record.changedAt, now})
+                                   .first->second;
     if (sighting.changedAt != record.changedAt)
         sighting = {record.changedAt, now};
-    return std::chrono::duration_cast<Millis>(now - sighting.since);
+    return std::chrono::duration_cast<Millis>(now - sighting.firstSeen);
 }
 
 } // namespace oleanderhall
--- a/src/fleet/poolstep.cpp
+++ b/src/fleet/poolstep.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMaxChangesPerEntry = 40; // hosts; keeps the entry within one transaction
-constexpr int kFewestHostsToDistrust = 4;
+constexpr int kMinHostsForMassFailure = 4;
 
 bool contains(const std::vector<ServiceId> &services, ServiceId service)
 {
@@ -24,14 +24,14 @@
 
 } // namespace
 
-PoolStep::PoolStep(const FleetState &state, const Observations &seen, PoolId pool,
+PoolStep::PoolStep(const FleetState &state, const Observations &observations, PoolId pool,
                    const PlannerSettings &settings, std::map<HostId, int> &startFailures)
     : m_state(state)
-    , m_seen(seen)
+    , m_observations(observations)
     , m_pool(pool)
     , m_settings(settings)
     , m_startFailures(startFailures)
-    , m_budget(state, pool, seen)
+    , m_budget(state, pool, observations)
 {
     int serving = 0;
     int unfit = 0;
@@ -40,20 +40,20 @@
         if (state.record(host)->state != HostState::Serving)
             continue;
         ++serving;
-        if (seen.of(*state.record(host)).health == Health::Unfit)
+        if (observations.currentFor(*state.record(host)).health == Health::Unhealthy)
             ++unfit;
-        if (seen.of(*state.record(host)).leaving)
+        if (observations.currentFor(*state.record(host)).leaving)
             ++leaving;
     }
     // When more than half of the pool seems lost at once, the observer may be the one cut off.
-    const bool isLarge = serving >= kFewestHostsToDistrust;
-    m_distrustsLoss = isLarge && 2 * unfit > serving;
-    m_distrustsList = isLarge && 2 * leaving > serving;
+    const bool isLarge = serving >= kMinHostsForMassFailure;
+    m_ignoresUnhealthy = isLarge && 2 * unfit > serving;
+    m_budgetsLeaving = isLarge && 2 * leaving > serving;
 }
 
 void PoolStep::progress(const HostRecord &record, Millis sinceChange)
 {
-    if (!hasRoom())
+    if (!canAddChange())
         return;
     switch (record.state) {
     case HostState::Joining:
@@ -73,37 +73,38 @@
 
 void PoolStep::progressJoining(const HostRecord &record, Millis sinceChange)
 {
-    const HostObservation seen = m_seen.of(record);
+    const HostObservation observation = m_observations.currentFor(record);
     if (registeredPool(record.id) != m_pool) {
         HostRecord next = record;
         next.state = HostState::Stopped;
         next.disruption = Disruption::Move;
-        return change(next, "the register changed before the host had joined");
+        return changeHost(next, "the register changed before the host had joined");
     }
-    if (seen.health == Health::Fit && seen.workerEpoch == record.epoch && !seen.leaving) {
+    if (observation.health == Health::Healthy && observation.workerEpoch == record.epoch
+        && !observation.leaving) {
         HostRecord next = record;
         next.state = HostState::Serving;
         next.disruption = Disruption::None;
-        return change(next, "the host is fit");
+        return changeHost(next, "the host is fit");
     }
     if (sinceChange > m_state.config().wave.returnTimeout)
-        return fail(record, "the host did not become fit in time");
-    command(record, WorkerCommand::Kind::Run, {});
+        return markFailed(record, "the host did not become fit in time");
+    addCommand(record, WorkerCommand::Kind::SetServices, {});
 }
 
 void PoolStep::progressServing(const HostRecord &record, Millis sinceChange)
 {
-    const HostObservation seen = m_seen.of(record);
+    const HostObservation observation = m_observations.currentFor(record);
     if (isLost(record))
-        return fail(record, "the host stopped answering");
-    if (hasLostTasks(record, m_seen))
-        return fail(record, "the host lost its instances");
+        return markFailed(record, "the host stopped answering");
+    if (hasLostInstances(record, m_observations))
+        return markFailed(record, "the host lost its instances");
     HostRecord next = record;
     bool isStarting = false;
     for (InstanceRecord &instance : next.instances) {
         if (instance.state != InstanceState::Starting)
             continue;
-        if (contains(seen.running, instance.service))
+        if (contains(observation.running, instance.service))
             instance.state = InstanceState::Ready;
         else
             isStarting = true;
@@ -112,34 +113,34 @@
         m_startFailures.erase(record.id);
     if (isStarting && sinceChange > m_settings.instanceStartTimeout) {
         ++m_startFailures[record.id];
-        return fail(record, "an instance did not start in time");
+        return markFailed(record, "an instance did not start in time");
     }
     if (next != record)
-        return change(next, "instances are ready");
+        return changeHost(next, "instances are ready");
     const bool mustStop = std::any_of(
-        seen.running.begin(), seen.running.end(),
+        observation.running.begin(), observation.running.end(),
         [&record](ServiceId service) { return !record.instanceOf(service); });
-    if (isStarting || (mustStop && isClear(record, sinceChange)))
-        command(record, WorkerCommand::Kind::Run, servicesOf(record));
+    if (isStarting || (mustStop && isChangePropagated(record, sinceChange)))
+        addCommand(record, WorkerCommand::Kind::SetServices, servicesOf(record));
 }
 
 void PoolStep::progressDraining(const HostRecord &record, Millis sinceChange)
 {
-    const HostObservation seen = m_seen.of(record);
-    if (seen.health == Health::Unfit)
-        return fail(record, "the host was lost while it drained");
-    if (!isClear(record, sinceChange)) {
-        m_plan.waiting[record.id] = "an entry host may still send work by an older view";
+    const HostObservation observation = m_observations.currentFor(record);
+    if (observation.health == Health::Unhealthy)
+        return markFailed(record, "the host was lost while it drained");
+    if (!isChangePropagated(record, sinceChange)) {
+        m_plan.waitReasons[record.id] = "an entry host may still send work by an older view";
         return;
     }
-    if (seen.health == Health::Fit && seen.workerEpoch == record.epoch && seen.running.empty()
-        && seen.activeInstances == 0) {
+    if (observation.health == Health::Healthy && observation.workerEpoch == record.epoch
+        && observation.running.empty() && observation.activeInstances == 0) {
         HostRecord next = record;
         next.state = HostState::Stopped;
         next.instances.clear();
-        return change(next, "the host runs nothing any more");
+        return changeHost(next, "the host runs nothing any more");
     }
-    command(record, WorkerCommand::Kind::Run, {});
+    addCommand(record, WorkerCommand::Kind::SetServices, {});
 }
 
 void PoolStep::progressStopped(const HostRecord &record)
@@ -156,48 +157,48 @@
         HostRecord next = record;
         next.state = HostState::Rebooting;
         next.epoch = newEpoch();
-        return change(next, "reboots for wave " + record.wave.name());
+        return changeHost(next, "reboots for wave " + record.wave.name());
     }
-    if (!m_seen.of(record).leaving)
+    if (!m_observations.currentFor(record).leaving)
         rejoin(record, record.pool, "returns");
 }
 
 void PoolStep::progressRebooting(const HostRecord &record, Millis sinceChange)
 {
-    const HostObservation seen = m_seen.of(record);
-    if (seen.health == Health::Fit && seen.bootEpoch == record.epoch)
+    const HostObservation observation = m_observations.currentFor(record);
+    if (observation.health == Health::Healthy && observation.bootEpoch == record.epoch)
         return rejoin(record, record.pool, "came back from its reboot");
     if (sinceChange > m_state.config().wave.returnTimeout)
-        return fail(record, "the host did not come back from its reboot");
-    command(record, WorkerCommand::Kind::Reboot, {});
+        return markFailed(record, "the host did not come back from its reboot");
+    addCommand(record, WorkerCommand::Kind::Reboot, {});
 }
 
 void PoolStep::progressFailed(const HostRecord &record, Millis sinceChange)
 {
-    const HostObservation seen = m_seen.of(record);
+    const HostObservation observation = m_observations.currentFor(record);
     const PoolId wanted = registeredPool(record.id);
-    const bool isReachable = seen.health == Health::Fit;
+    const bool isReachable = observation.health == Health::Healthy;
     if (wanted == record.pool) {
-        if (isReachable && !seen.leaving)
+        if (isReachable && !observation.leaving)
             rejoin(record, record.pool, "answers again");
         return;
     }
-    if (!isClear(record, sinceChange))
+    if (!isChangePropagated(record, sinceChange))
         return;
     HostRecord next = record;
     next.disruption = wanted.empty() ? Disruption::Remove : Disruption::Move;
     next.state = HostState::Stopped;
     if (isReachable || wanted.empty())
-        change(next, "a failed host leaves the pool");
+        changeHost(next, "a failed host leaves the pool");
 }
 
 void PoolStep::admitNewHosts()
 {
     for (const HostId host : m_state.registeredIn(m_pool)) {
-        if (m_state.record(host) || !hasRoom())
+        if (m_state.record(host) || !canAddChange())
             continue;
         HostRecord record{.id = host, .pool = m_pool, .epoch = newEpoch()};
-        change(record, "the register names it");
+        changeHost(record, "the register names it");
     }
 }
 
@@ -210,15 +211,15 @@
     });
 }
 
-bool PoolStep::isClear(const HostRecord &record, Millis sinceChange) const
+bool PoolStep::isChangePropagated(const HostRecord &record, Millis sinceChange) const
 {
-    if (m_seen.entries.empty() || m_seen.entriesSeenAt < record.changedAt)
+    if (m_observations.entryHosts.empty() || m_observations.entryHostsObservedAt < record.changedAt)
         return false;
     const HostSpec *spec = m_state.spec(record.id);
-    for (const EntryObservation &entry : m_seen.entries) {
+    for (const EntryHostObservation &entry : m_observations.entryHosts) {
         if (entry.acknowledged >= record.changedAt)
             continue;
-        const bool servesItsZoneOnly = entry.lapsed && sinceChange > m_settings.viewExpiry;
+        const bool servesItsZoneOnly = entry.leaseExpired && sinceChange > m_settings.viewExpiry;
         if (!servesItsZoneOnly || !spec || spec->zone == entry.zone)
             return false;
     }
@@ -227,10 +228,10 @@
 
 bool PoolStep::isLost(const HostRecord &record) const
 {
-    return !m_distrustsLoss && m_seen.of(record).health == Health::Unfit;
+    return !m_ignoresUnhealthy && m_observations.currentFor(record).health == Health::Unhealthy;
 }
 
-bool PoolStep::hasRoom() const
+bool PoolStep::canAddChange() const
 {
     return m_plan.changes.size() < kMaxChangesPerEntry;
 }
@@ -241,20 +242,20 @@
     return spec ? spec->pool : PoolId();
 }
 
-void PoolStep::change(HostRecord record, const std::string &why)
+void PoolStep::changeHost(HostRecord record, const std::string &why)
 {
     addReason(record.id.name() + " " + std::string(nameOf(record.state)) + ": " + why);
     m_changed.insert_or_assign(record.id, record);
     m_plan.changes.push_back(HostChange{std::move(record)});
 }
 
-void PoolStep::fail(const HostRecord &record, const std::string &why)
+void PoolStep::markFailed(const HostRecord &record, const std::string &why)
 {
-    m_budget.lose(record);
+    m_budget.recordLoss(record);
     HostRecord next = record;
     next.state = HostState::Failed;
     next.instances.clear();
-    change(next, why);
+    changeHost(next, why);
 }
 
 void PoolStep::rejoin(const HostRecord &record, PoolId pool, const std::string &why)
@@ -264,11 +265,11 @@
     next.pool = pool;
     next.epoch = newEpoch();
     next.instances.clear();
-    change(next, why);
+    changeHost(next, why);
 }
 
-void PoolStep::command(const HostRecord &record, WorkerCommand::Kind kind,
-                       std::vector<ServiceId> services)
+void PoolStep::addCommand(const HostRecord &record, WorkerCommand::Kind kind,
+                          std::vector<ServiceId> services)
 {
     m_plan.commands.push_back({record.id, record.epoch, kind, std::move(services)});
 }
--- a/src/fleet/poolstep.h
+++ b/src/fleet/poolstep.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "oleanderhall/fleet/poolbudget.h"
+#include "oleanderhall/fleet/disruptionbudget.h"
 #include "oleanderhall/fleet/poolplan.h"
 #include "oleanderhall/fleet/poolplanner.h"
 #include "oleanderhall/placement/instanceplacer.h"
@@ -15,7 +15,7 @@
 class PoolStep
 {
 public:
-    PoolStep(const FleetState &state, const Observations &seen, PoolId pool,
+    PoolStep(const FleetState &state, const Observations &observations, PoolId pool,
              const PlannerSettings &settings, std::map<HostId, int> &startFailures);
 
     void progress(const HostRecord &record, Millis sinceChange);
@@ -34,40 +34,41 @@
     void progressFailed(const HostRecord &record, Millis sinceChange);
 
     void placeService(const ServiceRule &rule);
-    void coverEmptyZone(const ServiceRule &rule, const std::vector<PlacementCandidate> &candidates,
-                        const std::map<ZoneId, int> &perZone);
-    void dropSpareInstances(const ServiceRule &rule,
-                            const std::vector<PlacementCandidate> &candidates,
-                            std::map<ZoneId, int> perZone, int held);
+    void addInstanceToEmptyZone(const ServiceRule &rule,
+                                const std::vector<PlacementCandidate> &candidates,
+                                const std::map<ZoneId, int> &perZone);
+    void removeSurplusInstances(const ServiceRule &rule,
+                                const std::vector<PlacementCandidate> &candidates,
+                                std::map<ZoneId, int> perZone, int placed);
     void addInstance(HostId host, const ServiceRule &rule);
-    void dropForeignInstances(const HostRecord &record);
+    void removeObsoleteInstances(const HostRecord &record);
     void admitWaveHosts(const WaveRecord &wave);
     bool tryDisrupt(const HostRecord &record, Disruption disruption, const std::string &why);
     bool hasHostsToJoin() const;
-    bool servicesSettled() const;
-    bool isClear(const HostRecord &record, Millis sinceChange) const;
+    bool areServicesReady() const;
+    bool isChangePropagated(const HostRecord &record, Millis sinceChange) const;
     bool isZoneFrozen(HostId host) const;
     bool isLost(const HostRecord &record) const;
-    bool hasRoom() const;
+    bool canAddChange() const;
     bool isChanged(HostId host) const { return m_changed.contains(host); }
     PoolId registeredPool(HostId host) const;
     Epoch newEpoch() const { return {m_state.sequence().next().value}; }
 
-    void change(HostRecord record, const std::string &why);
-    void fail(const HostRecord &record, const std::string &why);
+    void changeHost(HostRecord record, const std::string &why);
+    void markFailed(const HostRecord &record, const std::string &why);
     void rejoin(const HostRecord &record, PoolId pool, const std::string &why);
-    void command(const HostRecord &record, WorkerCommand::Kind kind,
-                 std::vector<ServiceId> services);
+    void addCommand(const HostRecord &record, WorkerCommand::Kind kind,
+                    std::vector<ServiceId> services);
     void addReason(const std::string &why);
 
     const FleetState &m_state;
-    const Observations &m_seen;
+    const Observations &m_observations;
     PoolId m_pool;
     const PlannerSettings &m_settings;
     std::map<HostId, int> &m_startFailures;
-    PoolBudget m_budget;
-    bool m_distrustsLoss = false; ///< So many hosts seem lost that none is given up on.
-    bool m_distrustsList = false; ///< So many hosts are called leaving that the budget decides.
+    DisruptionBudget m_budget;
+    bool m_ignoresUnhealthy = false; ///< So many hosts seem lost that none is given up on.
+    bool m_budgetsLeaving = false; ///< So many hosts are called leaving that the budget decides.
     PoolPlan m_plan;
     std::map<HostId, HostRecord> m_changed;
 };
--- a/src/fleet/poolstepdisruptions.cpp
+++ b/src/fleet/poolstepdisruptions.cpp
@@ -11,16 +11,16 @@
 {
     for (const HostId host : m_state.hostsOf(m_pool)) {
         const HostRecord &record = *m_state.record(host);
-        if (record.state != HostState::Serving || isChanged(host) || !hasRoom())
+        if (record.state != HostState::Serving || isChanged(host) || !canAddChange())
             continue;
         const PoolId wanted = registeredPool(host);
-        if (m_seen.of(record).leaving && m_distrustsList) {
+        if (m_observations.currentFor(record).leaving && m_budgetsLeaving) {
             tryDisrupt(record, Disruption::Leave, "the platform says that the host is leaving");
-        } else if (m_seen.of(record).leaving) {
+        } else if (m_observations.currentFor(record).leaving) {
             HostRecord next = record;
             next.state = HostState::Draining;
             next.disruption = Disruption::Leave;
-            change(next, "the platform says that the host is leaving");
+            changeHost(next, "the platform says that the host is leaving");
         } else if (wanted.empty()) {
             tryDisrupt(record, Disruption::Remove, "the register no longer names it");
         } else if (wanted != m_pool) {
@@ -62,7 +62,7 @@
     // Grows by as many hosts as have already come back fit.
     const int limit = std::max(m_state.config().wave.firstBatch, done);
     for (const auto &[isNewRack, zone, rack, host] : pending) {
-        if (inProgress >= limit || !hasRoom())
+        if (inProgress >= limit || !canAddChange())
             return;
         if (tryDisrupt(*m_state.record(host), Disruption::Reboot, "wave " + wave.id.name()))
             ++inProgress;
@@ -71,13 +71,13 @@
 
 bool PoolStep::tryDisrupt(const HostRecord &record, Disruption disruption, const std::string &why)
 {
-    std::optional<std::string> refusal = m_budget.refusal(record.id);
+    std::optional<std::string> refusal = m_budget.refusalReason(record.id);
     if (!refusal && isZoneFrozen(record.id))
         refusal = "an entry host of its zone acknowledges nothing";
-    if (!refusal && !servicesSettled())
+    if (!refusal && !areServicesReady())
         refusal = "a replacement instance is not ready yet";
     if (refusal) {
-        m_plan.waiting[record.id] = why + " waits: " + *refusal;
+        m_plan.waitReasons[record.id] = why + " waits: " + *refusal;
         return false;
     }
     HostRecord next = record;
@@ -85,8 +85,8 @@
     next.disruption = disruption;
     if (disruption == Disruption::Reboot)
         next.wave = m_state.waveOf(m_pool)->id;
-    m_budget.admit(record.id);
-    change(next, why);
+    m_budget.recordDisruption(record.id);
+    changeHost(next, why);
     return true;
 }
 
@@ -118,7 +118,7 @@
     addReason("wave " + next.id.name() + ": " + next.reason);
 }
 
-bool PoolStep::servicesSettled() const
+bool PoolStep::areServicesReady() const
 {
     int serving = 0;
     std::map<ServiceId, int> ready;
@@ -140,9 +140,9 @@
 bool PoolStep::isZoneFrozen(HostId host) const
 {
     const HostSpec *spec = m_state.spec(host);
-    return std::any_of(m_seen.entries.begin(), m_seen.entries.end(),
-                       [spec](const EntryObservation &entry) {
-                           return entry.lapsed && (!spec || spec->zone == entry.zone);
+    return std::any_of(m_observations.entryHosts.begin(), m_observations.entryHosts.end(),
+                       [spec](const EntryHostObservation &entry) {
+                           return entry.leaseExpired && (!spec || spec->zone == entry.zone);
                        });
 }
 
--- a/src/fleet/poolstepplacement.cpp
+++ b/src/fleet/poolstepplacement.cpp
@@ -23,8 +23,8 @@
 {
     for (const HostId host : m_state.hostsOf(m_pool)) {
         const HostRecord &record = *m_state.record(host);
-        if (record.state == HostState::Serving && !isChanged(host) && hasRoom())
-            dropForeignInstances(record);
+        if (record.state == HostState::Serving && !isChanged(host) && canAddChange())
+            removeObsoleteInstances(record);
     }
     for (const auto &[id, rule] : m_state.config().services) {
         if (rule.pool == m_pool)
@@ -32,7 +32,7 @@
     }
 }
 
-void PoolStep::dropForeignInstances(const HostRecord &record)
+void PoolStep::removeObsoleteInstances(const HostRecord &record)
 {
     HostRecord next = record;
     std::erase_if(next.instances, [this](const InstanceRecord &instance) {
@@ -40,27 +40,27 @@
         return rule == m_state.config().services.end() || rule->second.pool != m_pool;
     });
     if (next != record)
-        change(next, "a service left the pool");
+        changeHost(next, "a service left the pool");
 }
 
 void PoolStep::placeService(const ServiceRule &rule)
 {
     std::vector<PlacementCandidate> candidates;
     std::map<ZoneId, int> perZone;
-    int held = 0;
+    int placed = 0;
     int ready = 0;
     for (const HostId host : m_state.hostsOf(m_pool)) {
         const HostRecord &record = *m_state.record(host);
         const HostSpec *spec = m_state.spec(host);
         const InstanceRecord *instance = record.instanceOf(rule.id);
         if (record.state == HostState::Serving && instance) {
-            ++held;
+            ++placed;
             ready += instance->state == InstanceState::Ready ? 1 : 0;
             if (spec)
                 ++perZone[spec->zone];
         }
         if (record.state != HostState::Serving || isChanged(host) || !spec || spec->pool != m_pool
-            || m_seen.of(record).leaving)
+            || m_observations.currentFor(record).leaving)
             continue;
         candidates.push_back({.host = host,
                               .zone = spec->zone,
@@ -71,23 +71,23 @@
     }
     // The first instances wait until every host has joined or failed to, so that they are spread
     // over all zones and a zone that is cut off has some of its own.
-    if (held == 0 && hasHostsToJoin())
+    if (placed == 0 && hasHostsToJoin())
         return;
-    for (const HostId host : chooseInstanceHosts(candidates, rule.instances - held)) {
-        if (!hasRoom())
+    for (const HostId host : chooseInstanceHosts(candidates, rule.instances - placed)) {
+        if (!canAddChange())
             return;
         addInstance(host, rule);
     }
-    if (held == rule.instances && ready == held)
-        coverEmptyZone(rule, candidates, perZone);
+    if (placed == rule.instances && ready == placed)
+        addInstanceToEmptyZone(rule, candidates, perZone);
     if (ready > rule.instances)
-        dropSpareInstances(rule, candidates, perZone, held);
+        removeSurplusInstances(rule, candidates, perZone, placed);
 }
 
 /// A zone that lost its instances, and is back, gets one before another zone gives one up.
-void PoolStep::coverEmptyZone(const ServiceRule &rule,
-                              const std::vector<PlacementCandidate> &candidates,
-                              const std::map<ZoneId, int> &perZone)
+void PoolStep::addInstanceToEmptyZone(const ServiceRule &rule,
+                                      const std::vector<PlacementCandidate> &candidates,
+                                      const std::map<ZoneId, int> &perZone)
 {
     const bool canSpare = std::any_of(perZone.begin(), perZone.end(),
                                       [](const auto &zone) { return zone.second > 1; });
@@ -96,17 +96,17 @@
         if (!perZone.contains(candidate.zone) && candidate.startFailures == 0)
             uncovered.push_back(candidate);
     }
-    if (!canSpare || !hasRoom())
+    if (!canSpare || !canAddChange())
         return;
     for (const HostId host : chooseInstanceHosts(uncovered, 1))
         addInstance(host, rule);
 }
 
-void PoolStep::dropSpareInstances(const ServiceRule &rule,
-                                  const std::vector<PlacementCandidate> &candidates,
-                                  std::map<ZoneId, int> perZone, int held)
+void PoolStep::removeSurplusInstances(const ServiceRule &rule,
+                                      const std::vector<PlacementCandidate> &candidates,
+                                      std::map<ZoneId, int> perZone, int placed)
 {
-    while (held > rule.instances && hasRoom()) {
+    while (placed > rule.instances && canAddChange()) {
         const auto isSpare = [&](const PlacementCandidate &candidate) {
             return candidate.holdsService && !isChanged(candidate.host)
                 && candidate.zone == fullestZone(perZone);
@@ -118,9 +118,9 @@
         std::erase_if(next.instances, [&rule](const InstanceRecord &instance) {
             return instance.service == rule.id;
         });
-        change(next, "has an instance of " + rule.id.name() + " more than the rule wants");
+        changeHost(next, "has an instance of " + rule.id.name() + " more than the rule wants");
         --perZone[spare->zone];
-        --held;
+        --placed;
     }
 }
 
@@ -128,7 +128,7 @@
 {
     HostRecord next = *m_state.record(host);
     next.instances.push_back({.service = rule.id});
-    change(next, "gets an instance of " + rule.id.name());
+    changeHost(next, "gets an instance of " + rule.id.name());
 }
 
 } // namespace oleanderhall
--- a/src/membership/membertable.cpp
+++ b/src/membership/membertable.cpp
@@ -42,9 +42,9 @@
     return result;
 }
 
-std::vector<EntryObservation> MemberTable::observations(Instant now) const
+std::vector<EntryHostObservation> MemberTable::observations(Instant now) const
 {
-    std::vector<EntryObservation> result;
+    std::vector<EntryHostObservation> result;
     for (const auto &[id, member] : m_members) {
         result.push_back({id, member.row.zone, member.row.acknowledged, hasLapsed(member, now)});
     }
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -84,7 +84,7 @@
         throw PlatformUnavailable(error.what());
     }
     const JsonCursor cursor(json, "worker", "", findings);
-    HostObservation seen{.health = Health::Fit};
+    HostObservation seen{.health = Health::Healthy};
     seen.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kLargest))};
     seen.bootEpoch = {static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kLargest))};
     cursor.each("tasks", true, [&seen](const JsonCursor &task) {
--- a/src/rollout/logcodec.cpp
+++ b/src/rollout/logcodec.cpp
@@ -82,7 +82,7 @@
     return next;
 }
 
-std::optional<std::string> newBase(const LogEntry &entry, const LogHead &head, bool isLarge)
+std::optional<std::string> newBaseKey(const LogEntry &entry, const LogHead &head, bool isLarge)
 {
     const ConfigChange *config = configChangeOf(entry);
     if (!config)
--- a/tests/fleet/poolplanner_test.cpp
+++ b/tests/fleet/poolplanner_test.cpp
@@ -18,13 +18,13 @@
 const PoolId kPoolB("b");
 
 /// Does one random thing to the world, chosen by `random`.
-void disturb(FleetWorld &world, std::mt19937 &random)
+void applyRandomEvent(FleetWorld &world, std::mt19937 &random)
 {
     const auto pick = [&random](std::size_t size) { return random() % size; };
     auto worker = std::next(world.workers.begin(), static_cast<long>(pick(world.workers.size())));
     FleetWorld::Decider &decider = world.deciders[pick(world.deciders.size())];
     test::FleetWorld::WorkerState &state = worker->second;
-    EntryObservation &entry = world.entries[pick(world.entries.size())];
+    EntryHostObservation &entry = world.entryHosts[pick(world.entryHosts.size())];
     switch (pick(14)) {
     case 0:
     case 1:
@@ -37,7 +37,7 @@
         return world.plan(decider);
     case 6:
     case 7:
-        return world.carryOut(decider);
+        return world.execute(decider);
     case 8:
         state.isUp = !state.isUp;
         return;
@@ -45,26 +45,28 @@
         state = {}; // The host restarts by itself and has forgotten everything.
         return;
     case 10:
-        entry.acknowledged = world.truth.sequence();
-        entry.lapsed = false;
+        entry.acknowledged = world.committed.sequence();
+        entry.leaseExpired = false;
         return;
     case 11:
-        entry.lapsed = true;
+        entry.leaseExpired = true;
         world.now += Millis(pick(9000));
         return;
     case 12: {
-        HostSpec spec = world.truth.config().hosts.at(worker->first);
+        HostSpec spec = world.committed.config().hosts.at(worker->first);
         spec.pool = pick(2) == 0 ? kPoolA : kPoolB;
         RegisterPatch patch;
         patch.hosts.push_back(spec);
-        return world.operate(ConfigChange{world.truth.configVersion().next(), patch});
+        return world.commitOperatorChange(
+            ConfigChange{world.committed.configVersion().next(), patch});
     }
     default: {
-        PoolRule rule = world.truth.config().pools.at(kPoolA);
+        PoolRule rule = world.committed.config().pools.at(kPoolA);
         rule.minAvailable = static_cast<int>(3 + pick(3));
         RegisterPatch patch;
         patch.pools.push_back(rule);
-        return world.operate(ConfigChange{world.truth.configVersion().next(), patch});
+        return world.commitOperatorChange(
+            ConfigChange{world.committed.configVersion().next(), patch});
     }
     }
 }
@@ -72,21 +74,21 @@
 std::vector<std::string> runSchedule(std::uint32_t seed, bool checksHead)
 {
     FleetWorld world(checksHead);
-    world.settle(12);
-    world.operate(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
+    world.runHealthyRounds(12);
+    world.commitOperatorChange(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
     std::mt19937 random(seed);
     constexpr int kSteps = 400;
     for (int step = 0; step < kSteps; ++step)
-        disturb(world, random);
+        applyRandomEvent(world, random);
     return world.violations;
 }
 
 std::set<ZoneId> zonesWithAlpha(const FleetWorld &world)
 {
     std::set<ZoneId> zones;
-    for (const HostId host : world.truth.hostsOf(kPoolA)) {
-        if (world.truth.record(host)->instanceOf(ServiceId("alpha")))
-            zones.insert(world.truth.spec(host)->zone);
+    for (const HostId host : world.committed.hostsOf(kPoolA)) {
+        if (world.committed.record(host)->instanceOf(ServiceId("alpha")))
+            zones.insert(world.committed.spec(host)->zone);
     }
     return zones;
 }
@@ -94,8 +96,8 @@
 int readyAlpha(const FleetWorld &world)
 {
     int ready = 0;
-    for (const HostId host : world.truth.hostsOf(kPoolA)) {
-        for (const InstanceRecord &instance : world.truth.record(host)->instances)
+    for (const HostId host : world.committed.hostsOf(kPoolA)) {
+        for (const InstanceRecord &instance : world.committed.record(host)->instances)
             ready += instance.state == InstanceState::Ready ? 1 : 0;
     }
     return ready;
@@ -106,7 +108,7 @@
 TEST_CASE("PoolPlanner: a new register: every host serves and every instance is ready")
 {
     FleetWorld world(true);
-    world.settle(12);
+    world.runHealthyRounds(12);
     CHECK(world.serving(kPoolA) == 6);
     CHECK(readyAlpha(world) == 4);
 }
@@ -117,13 +119,13 @@
     test::FleetWorld::Decider &decider = world.deciders[0];
     for (int round = 0; round < 24; ++round) {
         for (auto &[id, worker] : world.workers) {
-            const bool isLate = world.truth.config().hosts.at(id).zone == ZoneId("z2");
+            const bool isLate = world.committed.config().hosts.at(id).zone == ZoneId("z2");
             worker.isUp = !isLate || round >= 6;
         }
         world.sync(decider);
         world.observe(decider);
         world.plan(decider);
-        world.carryOut(decider);
+        world.execute(decider);
         world.now += Millis(250);
     }
     CHECK(zonesWithAlpha(world).size() == 3);
@@ -132,20 +134,20 @@
 TEST_CASE("PoolPlanner: a zone was lost and is back: it gets an instance again")
 {
     FleetWorld world(true);
-    world.settle(12);
+    world.runHealthyRounds(12);
     test::FleetWorld::Decider &decider = world.deciders[0];
     const auto runWith = [&](bool isZoneUp, int rounds) {
         for (int round = 0; round < rounds; ++round) {
             for (auto &[id, worker] : world.workers) {
-                const bool isLost = world.truth.config().hosts.at(id).zone == ZoneId("z2");
+                const bool isLost = world.committed.config().hosts.at(id).zone == ZoneId("z2");
                 worker.isUp = !isLost || isZoneUp;
             }
-            for (EntryObservation &entry : world.entries)
-                entry.acknowledged = world.truth.sequence();
+            for (EntryHostObservation &entry : world.entryHosts)
+                entry.acknowledged = world.committed.sequence();
             world.sync(decider);
             world.observe(decider);
             world.plan(decider);
-            world.carryOut(decider);
+            world.execute(decider);
             world.now += Millis(250);
             if (round > 12)
                 CHECK(readyAlpha(world) >= 4); // the old instance stays until the new is ready
@@ -156,43 +158,43 @@
     runWith(true, 40);
     CHECK(zonesWithAlpha(world).size() == 3);
     CHECK(readyAlpha(world) == 4);
-    const Sequence settled = world.truth.sequence();
+    const Sequence settled = world.committed.sequence();
     runWith(true, 20);
-    CHECK(world.truth.sequence() == settled); // nothing is left to improve
+    CHECK(world.committed.sequence() == settled); // nothing is left to improve
 }
 
 TEST_CASE("PoolPlanner: a wave without faults: every host is maintained and the wave ends")
 {
     FleetWorld world(true);
-    world.settle(12);
-    world.operate(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
-    world.settle(120);
-    CHECK(world.truth.waveOf(kPoolA)->status == WaveStatus::Done);
-    for (const HostId host : world.truth.hostsOf(kPoolA))
-        CHECK(world.truth.record(host)->wave == WaveId("w"));
+    world.runHealthyRounds(12);
+    world.commitOperatorChange(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
+    world.runHealthyRounds(120);
+    CHECK(world.committed.waveOf(kPoolA)->status == WaveStatus::Done);
+    for (const HostId host : world.committed.hostsOf(kPoolA))
+        CHECK(world.committed.record(host)->wave == WaveId("w"));
     CHECK(world.violations.empty());
 }
 
 TEST_CASE("PoolPlanner: hosts that don't come back: the wave stops by itself")
 {
     FleetWorld world(true);
-    world.settle(12);
-    world.operate(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
+    world.runHealthyRounds(12);
+    world.commitOperatorChange(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
     test::FleetWorld::Decider &decider = world.deciders[0];
     for (int round = 0; round < 400; ++round) {
-        for (EntryObservation &entry : world.entries)
-            entry.acknowledged = world.truth.sequence();
-        for (const HostId host : world.truth.hostsOf(kPoolA)) {
-            if (world.truth.record(host)->state == HostState::Rebooting)
+        for (EntryHostObservation &entry : world.entryHosts)
+            entry.acknowledged = world.committed.sequence();
+        for (const HostId host : world.committed.hostsOf(kPoolA)) {
+            if (world.committed.record(host)->state == HostState::Rebooting)
                 world.workers[host].isUp = false;
         }
         world.sync(decider);
         world.observe(decider);
         world.plan(decider);
-        world.carryOut(decider);
+        world.execute(decider);
         world.now += Millis(1000);
     }
-    const WaveRecord &wave = *world.truth.waveOf(kPoolA);
+    const WaveRecord &wave = *world.committed.waveOf(kPoolA);
     CHECK(wave.status == WaveStatus::Stopped);
     CHECK(wave.reason == "2 hosts did not come back");
     CHECK(world.serving(kPoolA) == 4);
@@ -201,53 +203,53 @@
 TEST_CASE("PoolPlanner: an entry host of the zone is cut off: its zone's hosts stay as they are")
 {
     FleetWorld world(true);
-    world.settle(12);
-    world.operate(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
+    world.runHealthyRounds(12);
+    world.commitOperatorChange(WaveChange{{WaveId("w"), kPoolA, WaveStatus::Running, "test"}});
     test::FleetWorld::Decider &decider = world.deciders[0];
     for (int round = 0; round < 200; ++round) {
-        for (EntryObservation &entry : world.entries) {
-            entry.lapsed = entry.id == EntryId("e0");
-            if (!entry.lapsed)
-                entry.acknowledged = world.truth.sequence();
+        for (EntryHostObservation &entry : world.entryHosts) {
+            entry.leaseExpired = entry.id == EntryId("e0");
+            if (!entry.leaseExpired)
+                entry.acknowledged = world.committed.sequence();
         }
         world.sync(decider);
         world.observe(decider);
         world.plan(decider);
-        world.carryOut(decider);
+        world.execute(decider);
         world.now += Millis(1000);
     }
-    for (const HostId host : world.truth.hostsOf(kPoolA)) {
-        const bool isFrozen = world.truth.spec(host)->zone == ZoneId("z0");
-        CHECK((world.truth.record(host)->wave == WaveId("w")) == !isFrozen);
+    for (const HostId host : world.committed.hostsOf(kPoolA)) {
+        const bool isFrozen = world.committed.spec(host)->zone == ZoneId("z0");
+        CHECK((world.committed.record(host)->wave == WaveId("w")) == !isFrozen);
     }
 }
 
 TEST_CASE("PoolPlanner: half of the pool seems lost at once: no host is given up on")
 {
     FleetWorld world(true);
-    world.settle(12);
-    for (const HostId host : world.truth.hostsOf(kPoolA))
+    world.runHealthyRounds(12);
+    for (const HostId host : world.committed.hostsOf(kPoolA))
         world.workers[host].isUp = false;
     test::FleetWorld::Decider &decider = world.deciders[0];
     world.sync(decider);
     world.observe(decider);
     world.plan(decider);
-    world.carryOut(decider);
+    world.execute(decider);
     CHECK(world.serving(kPoolA) == 6);
 }
 
 TEST_CASE("PoolPlanner: the register moves a host: it is in one pool at a time and ends in the new")
 {
     FleetWorld world(true);
-    world.settle(12);
-    HostSpec spec = world.truth.config().hosts.at(HostId("a0"));
+    world.runHealthyRounds(12);
+    HostSpec spec = world.committed.config().hosts.at(HostId("a0"));
     spec.pool = kPoolB;
     RegisterPatch patch;
     patch.hosts.push_back(spec);
-    world.operate(ConfigChange{{2}, patch});
-    world.settle(20);
-    CHECK(world.truth.record(HostId("a0"))->pool == kPoolB);
-    CHECK(world.truth.record(HostId("a0"))->state == HostState::Serving);
+    world.commitOperatorChange(ConfigChange{{2}, patch});
+    world.runHealthyRounds(20);
+    CHECK(world.committed.record(HostId("a0"))->pool == kPoolB);
+    CHECK(world.committed.record(HostId("a0"))->state == HostState::Serving);
     CHECK(world.violations.empty());
 }
 
--- a/tests/membership/membertable_test.cpp
+++ b/tests/membership/membertable_test.cpp
@@ -39,7 +39,7 @@
     CHECK(table.owners(now).size() == 2);
     now += Millis(1);
     CHECK(table.owners(now) == std::vector<EntryId>{EntryId("a")});
-    CHECK(table.observations(now)[1].lapsed);
+    CHECK(table.observations(now)[1].leaseExpired);
 }
 
 TEST_CASE_METHOD(MemberTableTest, "MemberTable: an entry host that is leaving: owns nothing")
--- a/tests/support/fleetworld.h
+++ b/tests/support/fleetworld.h
@@ -23,10 +23,10 @@
         for (const auto &[id, host] : m_config.hosts)
             workers[id] = {};
         for (int index = 0; index < 3; ++index)
-            entries.push_back({EntryId("e" + std::to_string(index)),
-                               ZoneId("z" + std::to_string(index)),
-                               {},
-                               false});
+            entryHosts.push_back({EntryId("e" + std::to_string(index)),
+                                  ZoneId("z" + std::to_string(index)),
+                                  {},
+                                  false});
         LogEntry first{.actor = EntryId("op"), .operation = "first", .reason = "first"};
         first.changes.push_back(ConfigChange{{1}, difference(Register{}, m_config)});
         commit(first);
@@ -44,18 +44,18 @@
     struct Decider
     {
         FleetState state;
-        Observations seen;
+        Observations observations;
         PoolPlanner plannerA{PoolId("a")};
         PoolPlanner plannerB{PoolId("b")};
         std::vector<std::pair<Sequence, PoolPlan>> plans;
     };
 
     std::map<HostId, WorkerState> workers;
-    std::vector<EntryObservation> entries;
+    std::vector<EntryHostObservation> entryHosts;
     std::vector<Decider> deciders;
     std::vector<LogEntry> log;
     std::vector<std::string> violations;
-    FleetState truth;
+    FleetState committed;
     Instant now{std::chrono::hours(1)};
 
     void sync(Decider &decider)
@@ -66,18 +66,18 @@
 
     void observe(Decider &decider)
     {
-        decider.seen.hosts.clear();
+        decider.observations.hosts.clear();
         for (const auto &[id, worker] : workers) {
-            HostObservation seen{.health = worker.isUp ? Health::Fit : Health::Unfit,
-                                 .seenAt = decider.state.sequence()};
-            seen.workerEpoch = worker.epoch;
-            seen.bootEpoch = worker.bootEpoch;
-            seen.running = worker.running;
-            seen.activeInstances = static_cast<int>(worker.running.size());
-            decider.seen.hosts.emplace(id, seen);
+            HostObservation observation{.health = worker.isUp ? Health::Healthy : Health::Unhealthy,
+                                        .observedAt = decider.state.sequence()};
+            observation.workerEpoch = worker.epoch;
+            observation.bootEpoch = worker.bootEpoch;
+            observation.running = worker.running;
+            observation.activeInstances = static_cast<int>(worker.running.size());
+            decider.observations.hosts.emplace(id, observation);
         }
-        decider.seen.entries = entries;
-        decider.seen.entriesSeenAt = decider.state.sequence();
+        decider.observations.entryHosts = entryHosts;
+        decider.observations.entryHostsObservedAt = decider.state.sequence();
     }
 
     void plan(Decider &decider)
@@ -85,14 +85,14 @@
         decider.plans.clear();
         for (PoolPlanner *planner : {&decider.plannerA, &decider.plannerB})
             decider.plans.emplace_back(decider.state.sequence(),
-                                       planner->decide(decider.state, decider.seen, now));
+                                       planner->decide(decider.state, decider.observations, now));
     }
 
-    void carryOut(Decider &decider)
+    void execute(Decider &decider)
     {
         for (const auto &[sequence, plan] : decider.plans) {
             for (const WorkerCommand &command : plan.commands)
-                obey(command);
+                executeCommand(command);
             if (plan.changes.empty())
                 continue;
             LogEntry entry{.sequence = sequence.next(),
@@ -100,7 +100,7 @@
                            .operation = "o",
                            .reason = plan.reason,
                            .changes = plan.changes};
-            if (entry.sequence == truth.sequence().next())
+            if (entry.sequence == committed.sequence().next())
                 commit(entry);
             else if (!m_checksHead)
                 commit(entry);
@@ -109,7 +109,7 @@
     }
 
     /// Commits an operator's change on the newest state.
-    void operate(const Change &change)
+    void commitOperatorChange(const Change &change)
     {
         LogEntry entry{.actor = EntryId("op"), .operation = "op", .reason = "operator"};
         entry.changes.push_back(change);
@@ -117,20 +117,20 @@
     }
 
     /// Everything works and everybody is up to date, for `rounds` decisions.
-    void settle(int rounds)
+    void runHealthyRounds(int rounds)
     {
         for (int round = 0; round < rounds; ++round) {
             for (auto &[id, worker] : workers)
                 worker.isUp = true;
-            for (EntryObservation &entry : entries) {
-                entry.acknowledged = truth.sequence();
-                entry.lapsed = false;
+            for (EntryHostObservation &entry : entryHosts) {
+                entry.acknowledged = committed.sequence();
+                entry.leaseExpired = false;
             }
             Decider &decider = deciders[0];
             sync(decider);
             observe(decider);
             plan(decider);
-            carryOut(decider);
+            execute(decider);
             now += Millis(250);
         }
     }
@@ -138,13 +138,13 @@
     int serving(PoolId pool) const
     {
         int count = 0;
-        for (const HostId host : truth.hostsOf(pool))
-            count += truth.record(host)->state == HostState::Serving ? 1 : 0;
+        for (const HostId host : committed.hostsOf(pool))
+            count += committed.record(host)->state == HostState::Serving ? 1 : 0;
         return count;
     }
 
 private:
-    void obey(const WorkerCommand &command)
+    void executeCommand(const WorkerCommand &command)
     {
         WorkerState &worker = workers[command.host];
         if (!worker.isUp || command.epoch < worker.epoch)
@@ -157,9 +157,9 @@
 
     void commit(LogEntry entry)
     {
-        entry.sequence = truth.sequence().next();
-        const FleetState before = truth;
-        truth.apply(entry);
+        entry.sequence = committed.sequence().next();
+        const FleetState before = committed;
+        committed.apply(entry);
         log.push_back(entry);
         for (const Change &change : entry.changes) {
             if (const auto *host = std::get_if<HostChange>(&change)) {
@@ -184,7 +184,7 @@
     void checkViews(const HostRecord &drained)
     {
         const ZoneId zone = m_config.hosts.at(drained.id).zone;
-        for (const EntryObservation &entry : entries) {
+        for (const EntryHostObservation &entry : entryHosts) {
             if (entry.acknowledged < drained.changedAt && entry.zone == zone)
                 violations.push_back(drained.id.name() + " stopped while an old view may use it");
         }
@@ -192,8 +192,8 @@
 
     void checkBudget(const HostRecord &host)
     {
-        const PoolRule &rule = truth.config().pools.at(host.pool);
-        const int total = static_cast<int>(truth.hostsOf(host.pool).size());
+        const PoolRule &rule = committed.config().pools.at(host.pool);
+        const int total = static_cast<int>(committed.hostsOf(host.pool).size());
         const int available = serving(host.pool);
         if (available < rule.minAvailable || total - available > rule.maxUnavailable)
             violations.push_back("draining " + host.id.name() + " leaves "
