--- a/include/oleanderhall/fleet/change.h
+++ b/include/oleanderhall/fleet/change.h
@@ -9,7 +9,7 @@
 
 namespace oleanderhall {
 
-/// Accepts the next version of the configuration.
+/// Adopts a new version of the configuration. The patch applies to the previous version.
 struct ConfigChange
 {
     ConfigVersion version;
@@ -18,7 +18,7 @@
     friend bool operator==(const ConfigChange &, const ConfigChange &) = default;
 };
 
-/// Sets a host's record.
+/// Creates or replaces the record of a host.
 struct HostChange
 {
     HostRecord record;
@@ -26,7 +26,7 @@
     friend bool operator==(const HostChange &, const HostChange &) = default;
 };
 
-/// Removes a host that the register no longer names.
+/// Deletes the record of a host that the register no longer lists.
 struct HostRemoval
 {
     HostId host;
@@ -34,7 +34,7 @@
     friend bool operator==(const HostRemoval &, const HostRemoval &) = default;
 };
 
-/// Sets a maintenance wave's record.
+/// Creates or replaces the record of a maintenance wave.
 struct WaveChange
 {
     WaveRecord record;
@@ -42,7 +42,7 @@
     friend bool operator==(const WaveChange &, const WaveChange &) = default;
 };
 
-/// One change of the fleet's state.
+/// One change of the fleet's state, committed as part of a LogEntry.
 using Change = std::variant<ConfigChange, HostChange, HostRemoval, WaveChange>;
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/disruption.h
+++ b/include/oleanderhall/fleet/disruption.h
@@ -5,18 +5,18 @@
 
 namespace oleanderhall {
 
-/// Why a host was taken out of service.
+/// The reason for which a host was taken out of service.
 enum class Disruption {
-    None, ///< Not taken out, or lost without a plan.
-    Reboot, ///< A maintenance wave reboots it.
-    Move, ///< The register moves it to another pool.
-    Remove, ///< The register no longer names it.
-    Leave, ///< The platform says that it is leaving.
+    None, ///< In service, or unavailable without a planned reason.
+    Reboot, ///< A maintenance wave reboots the host.
+    Move, ///< The register assigns the host to another pool.
+    Remove, ///< The register no longer lists the host.
+    Leave, ///< The platform reports that it is withdrawing the host.
 };
 
-/// Returns the disruption's name as it stands in the log and in reports.
+/// Returns the name of `disruption` that the change log and reports use.
 std::string_view nameOf(Disruption disruption);
-/// Returns the disruption that `name` names, or nothing.
+/// Returns the disruption with the given name, or nothing if the name is unknown.
 std::optional<Disruption> disruptionFrom(std::string_view name);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/disruptionbudget.h
+++ b/include/oleanderhall/fleet/disruptionbudget.h
@@ -9,19 +9,20 @@
 
 namespace oleanderhall {
 
-/// A DisruptionBudget counts what a pool has left of its availability budget, planned and unplanned
-/// unavailability together. Count it anew for each decision; admit() keeps it right within one.
+/// The availability budget of a pool. Planned and unplanned unavailability count alike. Construct a
+/// new budget for each decision; recordDisruption() and recordLoss() update it within a decision.
 class DisruptionBudget
 {
 public:
-    /// Counts the hosts of `pool`. A host that serves but isn't seen fit counts as unavailable.
+    /// Counts the available hosts of `pool`: those that are Serving, observed healthy and run their
+    /// instances. Keeps references to `state` and `observations`.
     DisruptionBudget(const FleetState &state, PoolId pool, const Observations &observations);
 
-    /// Returns why `host` may not be taken out now, or nothing when it may.
+    /// Returns why the budget forbids taking `host` out of service, or nothing if it allows it.
     std::optional<std::string> refusalReason(HostId host) const;
-    /// Counts `host` as taken out by plan.
+    /// Counts an available `host` as unavailable for a planned reason.
     void recordDisruption(HostId host);
-    /// Counts a host that was found lost as unavailable.
+    /// Counts a failed host as unavailable. Has no effect if it was not available before.
     void recordLoss(const HostRecord &record);
 
     int available() const { return m_available; }
--- a/include/oleanderhall/fleet/fleetstate.h
+++ b/include/oleanderhall/fleet/fleetstate.h
@@ -11,9 +11,9 @@
 
 namespace oleanderhall {
 
-/// A FleetState is the result of the change log up to a sequence number: the accepted
-/// configuration, the hosts' records and the waves. Every entry host that applied the same entries
-/// holds the same state. It does no I/O and is not synchronised.
+/// The fleet's state at one sequence number of the change log: the accepted configuration, the
+/// host records and the maintenance waves. Applying the same entries always gives the same state,
+/// so all entry hosts agree on it. Does no I/O and is not thread-safe.
 class FleetState
 {
 public:
@@ -22,23 +22,23 @@
     const Register &config() const { return m_config; }
     const std::map<HostId, HostRecord> &hosts() const { return m_hosts; }
     const std::map<PoolId, WaveRecord> &waves() const { return m_waves; }
-    /// Returns the hosts whose record names `pool`, in order of their ids.
+    /// Returns the hosts whose record is in `pool`, ordered by id.
     const std::set<HostId> &hostsOf(PoolId pool) const;
-    /// Returns the hosts that the register puts into `pool`, in order of their ids.
+    /// Returns the hosts that the register assigns to `pool`, ordered by id.
     const std::set<HostId> &registeredIn(PoolId pool) const;
-    /// Returns the record of `host`, or null.
+    /// Returns the record of `host`, or null if there is none.
     const HostRecord *record(HostId host) const;
-    /// Returns the register's line for `host`, or null.
+    /// Returns the specification of `host` in the register, or null if it is not listed.
     const HostSpec *spec(HostId host) const;
-    /// Returns the latest wave over `pool`, or null.
+    /// Returns the latest maintenance wave of `pool`, or null if there was none.
     const WaveRecord *waveOf(PoolId pool) const;
 
-    /// Applies the next entry. Returns false and changes nothing unless the entry directly follows
-    /// the last one applied.
+    /// Applies `entry` if its sequence directly follows sequence(). Otherwise returns false and
+    /// changes nothing.
     bool apply(const LogEntry &entry);
 
-    /// Starts from a snapshot taken at `sequence`. Records written later than the snapshot keep
-    /// their own `changedAt`, and older entries don't overwrite them.
+    /// Replaces the state with a snapshot taken at `sequence`. Host records may be newer than
+    /// `sequence`: entries applied later don't overwrite a record whose `changedAt` is not older.
     void restore(Sequence sequence, ConfigVersion version, Register config,
                  std::vector<HostRecord> hosts, const std::vector<WaveRecord> &waves);
 
--- a/include/oleanderhall/fleet/hostrecord.h
+++ b/include/oleanderhall/fleet/hostrecord.h
@@ -9,8 +9,8 @@
 
 namespace oleanderhall {
 
-/// A HostRecord is what the platform's table holds of one host. Its one `pool` field is why a host
-/// is in exactly one pool at any time.
+/// The state of one host as stored in the platform's table. The single `pool` field ensures that a
+/// host is in exactly one pool at any time.
 struct HostRecord
 {
     HostId id;
@@ -18,11 +18,11 @@
     HostState state = HostState::Joining;
     Epoch epoch;
     Disruption disruption = Disruption::None;
-    WaveId wave; ///< The last wave that took the host out, or empty.
+    WaveId wave; ///< The last wave that took the host out of service, or empty.
     std::vector<InstanceRecord> instances;
-    Sequence changedAt; ///< Set from the log entry that wrote the record; not part of its JSON.
+    Sequence changedAt; ///< Sequence of the entry that wrote the record; not part of the JSON.
 
-    /// Returns the instance of `service` on this host, or null.
+    /// Returns the instance of `service` on this host, or null if there is none.
     const InstanceRecord *instanceOf(ServiceId service) const
     {
         for (const InstanceRecord &instance : instances) {
--- a/include/oleanderhall/fleet/hoststate.h
+++ b/include/oleanderhall/fleet/hoststate.h
@@ -5,19 +5,19 @@
 
 namespace oleanderhall {
 
-/// The states through which a host passes. Only a Serving host takes new work.
+/// The lifecycle states of a host. Only a Serving host accepts new work.
 enum class HostState {
-    Joining, ///< Assigned to its pool, not yet seen fit.
-    Serving, ///< Fit; may carry service instances.
-    Draining, ///< Takes no new work; its instances finish what they have.
-    Stopped, ///< Runs nothing.
-    Rebooting, ///< Told to reboot, not yet back.
-    Failed, ///< Lost without a plan, or did not come back.
+    Joining, ///< Assigned to its pool, not yet observed healthy.
+    Serving, ///< Healthy; may run service instances.
+    Draining, ///< Accepts no new work; its instances finish their active requests.
+    Stopped, ///< Runs no instances.
+    Rebooting, ///< Commanded to reboot, not yet back.
+    Failed, ///< Failed while in service, or did not come back from a reboot.
 };
 
-/// Returns the state's name as it stands in the log and in reports.
+/// Returns the name of `state` that the change log and reports use.
 std::string_view nameOf(HostState state);
-/// Returns the state that `name` names, or nothing.
+/// Returns the state with the given name, or nothing if the name is unknown.
 std::optional<HostState> hostStateFrom(std::string_view name);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/instancerecord.h
+++ b/include/oleanderhall/fleet/instancerecord.h
@@ -5,7 +5,7 @@
 
 namespace oleanderhall {
 
-/// An InstanceRecord places one instance of a service on the host whose record holds it.
+/// An instance of a service, placed on the host whose record contains it.
 struct InstanceRecord
 {
     ServiceId service;
--- a/include/oleanderhall/fleet/instancestate.h
+++ b/include/oleanderhall/fleet/instancestate.h
@@ -5,12 +5,12 @@
 
 namespace oleanderhall {
 
-/// Whether a service instance takes requests yet.
+/// Whether a service instance accepts requests yet.
 enum class InstanceState { Starting, Ready };
 
-/// Returns the state's name as it stands in the log and in reports.
+/// Returns the name of `state` that the change log and reports use.
 std::string_view nameOf(InstanceState state);
-/// Returns the state that `name` names, or nothing.
+/// Returns the state with the given name, or nothing if the name is unknown.
 std::optional<InstanceState> instanceStateFrom(std::string_view name);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/logentry.h
+++ b/include/oleanderhall/fleet/logentry.h
@@ -9,13 +9,13 @@
 
 namespace oleanderhall {
 
-/// A LogEntry is one committed decision: who took it, why, and what it changed. The entry with
-/// sequence n was decided on the state after entry n - 1.
+/// A decision in the change log: who made it, why, and what it changes. The entry with sequence n
+/// was decided on the state after entry n - 1.
 struct LogEntry
 {
     Sequence sequence;
     EntryId actor;
-    std::string operation; ///< Names the attempt, to recognise it when an answer is lost.
+    std::string operation; ///< Unique id of the append, identifies it if the response is lost.
     std::string reason;
     std::vector<Change> changes;
 
@@ -26,10 +26,12 @@
 web::json::value toJson(const WaveRecord &record);
 web::json::value toJson(const LogEntry &entry);
 
+/// Parses the object at `cursor`. Records a finding for each invalid member.
 HostRecord parseHostRecord(const JsonCursor &cursor);
+/// Parses the object at `cursor`. Records a finding for each invalid member.
 WaveRecord parseWaveRecord(const JsonCursor &cursor);
-/// Parses what toJson(LogEntry) wrote. Throws InvalidDocument with all findings; never returns a
-/// part of an entry.
+/// Parses the JSON text of an entry. Throws InvalidDocument with all findings if any part of the
+/// entry is invalid.
 LogEntry parseLogEntry(const std::string &text);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/observations.h
+++ b/include/oleanderhall/fleet/observations.h
@@ -8,39 +8,40 @@
 
 namespace oleanderhall {
 
-/// What is known of a host's fitness. Unknown counts as unavailable in every budget.
+/// The observed health of a host. An Unknown host counts as unavailable in disruption budgets.
 enum class Health { Unknown, Healthy, Unhealthy };
 
-/// What was last seen of one host.
+/// The latest observation of one host.
 struct HostObservation
 {
     Health health = Health::Unknown;
-    bool leaving = false; ///< The platform's list says that the host is leaving.
+    bool leaving = false; ///< The platform's host list says that the host is being withdrawn.
     Epoch workerEpoch; ///< The highest epoch that the worker has accepted.
-    Epoch bootEpoch; ///< The epoch of the last reboot that has ended.
+    Epoch bootEpoch; ///< The epoch of the last completed reboot.
     std::vector<ServiceId> running; ///< Services whose instance accepts connections.
-    int activeInstances = 0; ///< Instances that run or still finish requests.
-    Sequence observedAt; ///< The state's sequence when the observation began.
+    int activeInstances = 0; ///< Instances that run, or are stopping and finish requests.
+    Sequence observedAt; ///< Sequence of the fleet's state when the observation began.
 };
 
-/// What was last seen of one entry host.
+/// The latest observation of one entry host.
 struct EntryHostObservation
 {
     EntryId id;
     ZoneId zone;
-    Sequence acknowledged; ///< The entry host dispatches only by views at least this new.
-    bool leaseExpired = false; ///< Its view lease ended: it serves only upstreams of its own zone.
+    Sequence acknowledged; ///< The entry host routes only by views at least this new.
+    bool leaseExpired = false; ///< View lease expired: it routes only within its own zone.
 };
 
-/// Everything from outside that a decision about hosts may use.
+/// The observations on which the decisions about hosts are based.
 struct Observations
 {
     std::map<HostId, HostObservation> hosts;
     std::vector<EntryHostObservation> entryHosts;
-    Sequence entryHostsObservedAt; ///< The state's sequence when the entry hosts were listed.
+    Sequence entryHostsObservedAt; ///< Sequence of the state when the entry hosts were listed.
 
-    /// Returns what was seen of the record's host since the record was written. An observation that
-    /// is older than the record says nothing about it, so the host is Unknown then.
+    /// Returns the observation of the record's host if it is at least as new as the record. An
+    /// older observation says nothing about the record, so only its `leaving` is kept and the
+    /// host's health is Unknown.
     HostObservation currentFor(const HostRecord &record) const
     {
         const auto found = hosts.find(record.id);
@@ -52,8 +53,8 @@
     }
 };
 
-/// Says whether a host that answers has lost what its record says it runs, as after a restart of
-/// its own.
+/// Returns true if a healthy host no longer runs what its record says: its worker has not accepted
+/// the record's epoch or a ready instance is not running, for instance after an unplanned restart.
 bool hasLostInstances(const HostRecord &record, const Observations &observations);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/poolplan.h
+++ b/include/oleanderhall/fleet/poolplan.h
@@ -9,14 +9,13 @@
 
 namespace oleanderhall {
 
-/// A PoolPlan is what a PoolPlanner decided: changes to commit as one log entry, commands that hold
-/// by the state already committed, and why hosts wait.
+/// The result of a decision of a PoolPlanner.
 struct PoolPlan
 {
-    std::vector<Change> changes;
-    std::string reason;
-    std::vector<WorkerCommand> commands;
-    std::map<HostId, std::string> waitReasons;
+    std::vector<Change> changes; ///< To be committed as one log entry.
+    std::string reason; ///< The reason of that log entry.
+    std::vector<WorkerCommand> commands; ///< Follow from the state already committed.
+    std::map<HostId, std::string> waitReasons; ///< Why the next step of a host is deferred.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/poolplanner.h
+++ b/include/oleanderhall/fleet/poolplanner.h
@@ -10,44 +10,47 @@
 
 namespace oleanderhall {
 
-/// How patient a PoolPlanner is.
+/// The timeouts of a PoolPlanner.
 struct PlannerSettings
 {
+    /// How long an instance may take to start before its host counts as failed.
     Millis instanceStartTimeout{10000};
-    /// How long after a change an entry host that acknowledges nothing may still send work to
-    /// other zones by an older view: the view lease and a margin.
+    /// How long after a change an entry host that has not acknowledged it may still send work to
+    /// other zones by an older view: the duration of the view lease plus a margin.
     Millis viewExpiry{4000};
 };
 
-/// A PoolPlanner decides the next steps for the hosts of one pool: joins, drains, reboots, moves,
-/// removals and the placement of instances. It reads the state, what was seen and the time, and
-/// returns typed changes; it does no I/O. Its own memory (when it first saw a record) may
-/// be lost at any time and only delays decisions then. Any number of planners may decide for one
-/// pool at once: each plan commits only on the very state that it was decided on.
+/// Decides the next steps for the hosts of one pool: joins, drains, reboots, moves, removals and
+/// the placement of instances. Does no I/O. Any number of planners may decide for one pool at the
+/// same time, because a plan can only be committed on the state on which it was decided. The
+/// planner's own data (when it first read a version of a record, and the start failures of each
+/// host) is not persistent; losing it only delays decisions.
 class PoolPlanner
 {
 public:
     explicit PoolPlanner(PoolId pool, PlannerSettings settings = {});
 
-    /// Decides on `state`. The plan's changes must be committed as the entry that follows
-    /// `state.sequence()`, or not at all.
+    /// Returns the next steps. The changes must be committed as the entry that directly follows
+    /// `state.sequence()`, or discarded.
     PoolPlan decide(const FleetState &state, const Observations &observations, Instant now);
 
     PoolId pool() const { return m_pool; }
 
 private:
+    /// The version of a record that the planner read last, and when it first read that version.
     struct ObservedChange
     {
         Sequence changedAt;
         Instant firstSeen;
     };
 
+    /// Returns how long ago the planner first read this version of `record`.
     Millis timeSinceChange(const HostRecord &record, Instant now);
 
     PoolId m_pool;
     PlannerSettings m_settings;
     std::map<HostId, ObservedChange> m_observedChanges;
-    std::map<HostId, int> m_startFailures;
+    std::map<HostId, int> m_startFailures; ///< Consecutive failed starts of instances.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/waverecord.h
+++ b/include/oleanderhall/fleet/waverecord.h
@@ -7,13 +7,13 @@
 
 namespace oleanderhall {
 
-/// A WaveRecord is one maintenance wave over all hosts of a pool.
+/// A maintenance wave, which reboots all hosts of a pool.
 struct WaveRecord
 {
     WaveId id;
     PoolId pool;
     WaveStatus status = WaveStatus::Running;
-    std::string reason; ///< Why it was started, paused or stopped.
+    std::string reason; ///< Why the wave was started, paused or stopped.
 
     friend bool operator==(const WaveRecord &, const WaveRecord &) = default;
 };
--- a/include/oleanderhall/fleet/wavestatus.h
+++ b/include/oleanderhall/fleet/wavestatus.h
@@ -5,12 +5,12 @@
 
 namespace oleanderhall {
 
-/// Where a maintenance wave stands.
+/// The status of a maintenance wave.
 enum class WaveStatus { Running, Paused, Stopped, Done };
 
-/// Returns the status's name as it stands in the log and in reports.
+/// Returns the name of `status` that the change log and reports use.
 std::string_view nameOf(WaveStatus status);
-/// Returns the status that `name` names, or nothing.
+/// Returns the status with the given name, or nothing if the name is unknown.
 std::optional<WaveStatus> waveStatusFrom(std::string_view name);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/fleet/workercommand.h
+++ b/include/oleanderhall/fleet/workercommand.h
@@ -6,13 +6,13 @@
 
 namespace oleanderhall {
 
-/// What a worker is told to do. Commands state the wanted end, so that repeating one is harmless;
-/// a worker refuses a command whose epoch is lower than one it has accepted.
+/// A command to the worker on a host. Commands are idempotent because they state the desired
+/// result. A worker rejects a command whose epoch is lower than one that it has accepted.
 struct WorkerCommand
 {
     enum class Kind {
-        SetServices, ///< Run an instance of exactly these services; stop others gracefully.
-        Reboot, ///< Reboot once for this epoch.
+        SetServices, ///< Run one instance of each of `services`; stop others gracefully.
+        Reboot, ///< Reboot, once per epoch.
     };
 
     HostId host;
--- a/src/fleet/disruptionbudget.cpp
+++ b/src/fleet/disruptionbudget.cpp
@@ -25,16 +25,16 @@
 {
     const HostRecord *record = m_state.record(host);
     if (record && !isAvailable(*record))
-        return "the host is not available itself";
+        return "the host itself is unavailable";
     if (m_available - 1 < m_rule.minAvailable)
         return "minAvailable " + std::to_string(m_rule.minAvailable) + " is reached with "
             + std::to_string(m_available) + " available";
     if (m_unavailable + 1 > m_rule.maxUnavailable)
-        return "maxUnavailable " + std::to_string(m_rule.maxUnavailable) + " is used up";
+        return "maxUnavailable " + std::to_string(m_rule.maxUnavailable) + " is exhausted";
     std::set<RackId> racks = m_disruptedRacks;
     racks.insert(rackOf(host));
     if (static_cast<int>(racks.size()) > m_rule.maxDisruptedRacks)
-        return "maxDisruptedRacks " + std::to_string(m_rule.maxDisruptedRacks) + " is used up";
+        return "maxDisruptedRacks " + std::to_string(m_rule.maxDisruptedRacks) + " is exhausted";
     return std::nullopt;
 }
 
@@ -63,7 +63,8 @@
 RackId DisruptionBudget::rackOf(HostId host) const
 {
     const HostSpec *spec = m_state.spec(host);
-    // A host that left the register keeps a domain of its own, the strictest reading.
+    // The rack of a host that is no longer in the register is unknown. Counting it as a rack of
+    // its own is the strictest assumption.
     return spec ? spec->rack : RackId("host:" + host.name());
 }
 
--- a/src/fleet/names.h
+++ b/src/fleet/names.h
@@ -7,11 +7,11 @@
 
 namespace oleanderhall {
 
-/// Internal: pairs each value of an enumeration with its name.
+/// Internal: the name of each value of an enumeration.
 template <typename Enum, std::size_t Size>
 using NameTable = std::array<std::pair<Enum, std::string_view>, Size>;
 
-/// Internal: returns the name that `table` gives to `wanted`.
+/// Internal: returns the name of `wanted` in `table`, or "invalid" if it has none.
 template <typename Enum, std::size_t Size>
 std::string_view nameIn(const NameTable<Enum, Size> &table, Enum wanted)
 {
@@ -22,7 +22,7 @@
     return "invalid";
 }
 
-/// Internal: returns the value whose name is `wanted`, or nothing.
+/// Internal: returns the value with the name `wanted`, or nothing if there is none.
 template <typename Enum, std::size_t Size>
 std::optional<Enum> valueIn(const NameTable<Enum, Size> &table, std::string_view wanted)
 {
--- a/src/fleet/poolplanner.cpp
+++ b/src/fleet/poolplanner.cpp
@@ -25,12 +25,13 @@
 
 Millis PoolPlanner::timeSinceChange(const HostRecord &record, Instant now)
 {
-    ObservedChange &sighting = m_observedChanges
-                                   .try_emplace(record.id, ObservedChange{record.changedAt, now})
-                                   .first->second;
-    if (sighting.changedAt != record.changedAt)
-        sighting = {record.changedAt, now};
-    return std::chrono::duration_cast<Millis>(now - sighting.firstSeen);
+    ObservedChange &observedChange = m_observedChanges
+                                         .try_emplace(record.id,
+                                                      ObservedChange{record.changedAt, now})
+                                         .first->second;
+    if (observedChange.changedAt != record.changedAt)
+        observedChange = {record.changedAt, now};
+    return std::chrono::duration_cast<Millis>(now - observedChange.firstSeen);
 }
 
 } // namespace oleanderhall
--- a/src/fleet/poolstep.cpp
+++ b/src/fleet/poolstep.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxChangesPerEntry = 40; // hosts; keeps the entry within one transaction
-constexpr int kMinHostsForMassFailure = 4;
+constexpr std::size_t kMaxChangesPerEntry = 40; // keeps an entry within one table transaction
+constexpr int kMinHostsForMassFailure = 4; // smaller pools never count as failing as a whole
 
 bool contains(const std::vector<ServiceId> &services, ServiceId service)
 {
@@ -34,20 +34,21 @@
     , m_budget(state, pool, observations)
 {
     int serving = 0;
-    int unfit = 0;
+    int unhealthy = 0;
     int leaving = 0;
     for (const HostId host : state.hostsOf(pool)) {
         if (state.record(host)->state != HostState::Serving)
             continue;
         ++serving;
         if (observations.currentFor(*state.record(host)).health == Health::Unhealthy)
-            ++unfit;
+            ++unhealthy;
         if (observations.currentFor(*state.record(host)).leaving)
             ++leaving;
     }
-    // When more than half of the pool seems lost at once, the observer may be the one cut off.
+    // If more than half of the pool seems to fail at once, the observer may be the one that is
+    // disconnected.
     const bool isLarge = serving >= kMinHostsForMassFailure;
-    m_ignoresUnhealthy = isLarge && 2 * unfit > serving;
+    m_ignoresUnhealthy = isLarge && 2 * unhealthy > serving;
     m_budgetsLeaving = isLarge && 2 * leaving > serving;
 }
 
@@ -78,7 +79,7 @@
         HostRecord next = record;
         next.state = HostState::Stopped;
         next.disruption = Disruption::Move;
-        return changeHost(next, "the register changed before the host had joined");
+        return changeHost(next, "the register changed before the host joined");
     }
     if (observation.health == Health::Healthy && observation.workerEpoch == record.epoch
         && !observation.leaving) {
@@ -88,7 +89,7 @@
         return changeHost(next, "the host is fit");
     }
     if (sinceChange > m_state.config().wave.returnTimeout)
-        return markFailed(record, "the host did not become fit in time");
+        return markFailed(record, "the host did not become healthy in time");
     addCommand(record, WorkerCommand::Kind::SetServices, {});
 }
 
@@ -96,7 +97,7 @@
 {
     const HostObservation observation = m_observations.currentFor(record);
     if (isLost(record))
-        return markFailed(record, "the host stopped answering");
+        return markFailed(record, "the host stopped responding");
     if (hasLostInstances(record, m_observations))
         return markFailed(record, "the host lost its instances");
     HostRecord next = record;
@@ -128,9 +129,9 @@
 {
     const HostObservation observation = m_observations.currentFor(record);
     if (observation.health == Health::Unhealthy)
-        return markFailed(record, "the host was lost while it drained");
+        return markFailed(record, "the host failed while draining");
     if (!isChangePropagated(record, sinceChange)) {
-        m_plan.waitReasons[record.id] = "an entry host may still send work by an older view";
+        m_plan.waitReasons[record.id] = "an entry host may still route to it by an older view";
         return;
     }
     if (observation.health == Health::Healthy && observation.workerEpoch == record.epoch
@@ -138,26 +139,26 @@
         HostRecord next = record;
         next.state = HostState::Stopped;
         next.instances.clear();
-        return changeHost(next, "the host runs nothing any more");
+        return changeHost(next, "the host has stopped all instances");
     }
     addCommand(record, WorkerCommand::Kind::SetServices, {});
 }
 
 void PoolStep::progressStopped(const HostRecord &record)
 {
-    const PoolId wanted = registeredPool(record.id);
-    if (wanted.empty()) {
+    const PoolId assignedPool = registeredPool(record.id);
+    if (assignedPool.empty()) {
         m_plan.changes.push_back(HostRemoval{record.id});
         m_changed.emplace(record.id, record);
-        return addReason(record.id.name() + " removed: the register no longer names it");
+        return addReason(record.id.name() + " removed: the register no longer lists it");
     }
-    if (wanted != record.pool)
-        return rejoin(record, wanted, "moved from pool " + record.pool.name());
+    if (assignedPool != record.pool)
+        return rejoin(record, assignedPool, "moved from pool " + record.pool.name());
     if (record.disruption == Disruption::Reboot) {
         HostRecord next = record;
         next.state = HostState::Rebooting;
         next.epoch = newEpoch();
-        return changeHost(next, "reboots for wave " + record.wave.name());
+        return changeHost(next, "reboot for wave " + record.wave.name());
     }
     if (!m_observations.currentFor(record).leaving)
         rejoin(record, record.pool, "returns");
@@ -167,7 +168,7 @@
 {
     const HostObservation observation = m_observations.currentFor(record);
     if (observation.health == Health::Healthy && observation.bootEpoch == record.epoch)
-        return rejoin(record, record.pool, "came back from its reboot");
+        return rejoin(record, record.pool, "the reboot is complete");
     if (sinceChange > m_state.config().wave.returnTimeout)
         return markFailed(record, "the host did not come back from its reboot");
     addCommand(record, WorkerCommand::Kind::Reboot, {});
@@ -176,9 +177,9 @@
 void PoolStep::progressFailed(const HostRecord &record, Millis sinceChange)
 {
     const HostObservation observation = m_observations.currentFor(record);
-    const PoolId wanted = registeredPool(record.id);
+    const PoolId assignedPool = registeredPool(record.id);
     const bool isReachable = observation.health == Health::Healthy;
-    if (wanted == record.pool) {
+    if (assignedPool == record.pool) {
         if (isReachable && !observation.leaving)
             rejoin(record, record.pool, "answers again");
         return;
@@ -186,10 +187,10 @@
     if (!isChangePropagated(record, sinceChange))
         return;
     HostRecord next = record;
-    next.disruption = wanted.empty() ? Disruption::Remove : Disruption::Move;
+    next.disruption = assignedPool.empty() ? Disruption::Remove : Disruption::Move;
     next.state = HostState::Stopped;
-    if (isReachable || wanted.empty())
-        changeHost(next, "a failed host leaves the pool");
+    if (isReachable || assignedPool.empty())
+        changeHost(next, "a failed host is taken out of the pool");
 }
 
 void PoolStep::admitNewHosts()
@@ -198,7 +199,7 @@
         if (m_state.record(host) || !canAddChange())
             continue;
         HostRecord record{.id = host, .pool = m_pool, .epoch = newEpoch()};
-        changeHost(record, "the register names it");
+        changeHost(record, "the register lists it");
     }
 }
 
--- a/src/fleet/poolstep.h
+++ b/src/fleet/poolstep.h
@@ -10,18 +10,23 @@
 
 namespace oleanderhall {
 
-/// Internal: one run of PoolPlanner::decide. It collects changes in `m_plan`; each host changes at
-/// most once in a step.
+/// Internal: a single run of PoolPlanner::decide(). Collects the changes in `m_plan`; each host
+/// changes at most once per step. The methods are called in the order of their declaration.
 class PoolStep
 {
 public:
     PoolStep(const FleetState &state, const Observations &observations, PoolId pool,
              const PlannerSettings &settings, std::map<HostId, int> &startFailures);
 
+    /// Takes the next step of the host's lifecycle. `sinceChange` is the age of the record.
     void progress(const HostRecord &record, Millis sinceChange);
+    /// Adds records for the hosts that the register newly assigns to the pool.
     void admitNewHosts();
+    /// Adds and removes instances so that the pool's services have as many as their rules say.
     void placeInstances();
+    /// Starts to drain hosts that leave, move, are removed or are due in a wave.
     void admitDisruptions();
+    /// Ends the running wave when all hosts are done or too many have failed.
     void advanceWave();
     PoolPlan takePlan() { return std::move(m_plan); }
 
@@ -45,8 +50,14 @@
     void admitWaveHosts(const WaveRecord &wave);
     bool tryDisrupt(const HostRecord &record, Disruption disruption, const std::string &why);
     bool hasHostsToJoin() const;
+    /// Returns true if every service has its required number of ready instances, or one on every
+    /// serving host if there are fewer hosts.
     bool areServicesReady() const;
+    /// Returns true once no entry host can send work to the host by a view older than `record`.
     bool isChangePropagated(const HostRecord &record, Millis sinceChange) const;
+    /// Returns true if the view lease of an entry host in the host's zone has expired, or in any
+    /// zone if the host's zone is unknown. Such an entry host still routes to the hosts of its zone
+    /// by an old view, so none of them may be disrupted.
     bool isZoneFrozen(HostId host) const;
     bool isLost(const HostRecord &record) const;
     bool canAddChange() const;
@@ -67,10 +78,10 @@
     const PlannerSettings &m_settings;
     std::map<HostId, int> &m_startFailures;
     DisruptionBudget m_budget;
-    bool m_ignoresUnhealthy = false; ///< So many hosts seem lost that none is given up on.
-    bool m_budgetsLeaving = false; ///< So many hosts are called leaving that the budget decides.
+    bool m_ignoresUnhealthy = false; ///< Too many hosts unhealthy at once: none is marked failed.
+    bool m_budgetsLeaving = false; ///< Too many hosts leaving at once: the budget limits drains.
     PoolPlan m_plan;
-    std::map<HostId, HostRecord> m_changed;
+    std::map<HostId, HostRecord> m_changed; ///< The hosts that this step has changed.
 };
 
 } // namespace oleanderhall
--- a/src/fleet/poolstepdisruptions.cpp
+++ b/src/fleet/poolstepdisruptions.cpp
@@ -1,4 +1,4 @@
-// Which hosts of a pool are taken out of service, by waves, moves and removals.
+// The part of PoolStep that takes hosts out of service for waves, moves and removals.
 #include "poolstep.h"
 
 #include <algorithm>
@@ -13,18 +13,18 @@
         const HostRecord &record = *m_state.record(host);
         if (record.state != HostState::Serving || isChanged(host) || !canAddChange())
             continue;
-        const PoolId wanted = registeredPool(host);
+        const PoolId assignedPool = registeredPool(host);
         if (m_observations.currentFor(record).leaving && m_budgetsLeaving) {
-            tryDisrupt(record, Disruption::Leave, "the platform says that the host is leaving");
+            tryDisrupt(record, Disruption::Leave, "the platform reports that the host is leaving");
         } else if (m_observations.currentFor(record).leaving) {
             HostRecord next = record;
             next.state = HostState::Draining;
             next.disruption = Disruption::Leave;
-            changeHost(next, "the platform says that the host is leaving");
-        } else if (wanted.empty()) {
-            tryDisrupt(record, Disruption::Remove, "the register no longer names it");
-        } else if (wanted != m_pool) {
-            tryDisrupt(record, Disruption::Move, "the register moves it to " + wanted.name());
+            changeHost(next, "the platform reports that the host is leaving");
+        } else if (assignedPool.empty()) {
+            tryDisrupt(record, Disruption::Remove, "the register no longer lists it");
+        } else if (assignedPool != m_pool) {
+            tryDisrupt(record, Disruption::Move, "the register moves it to " + assignedPool.name());
         }
     }
     const WaveRecord *wave = m_state.waveOf(m_pool);
@@ -59,7 +59,7 @@
         pending.emplace_back(!openRacks.contains(spec.rack), spec.zone, spec.rack, host);
     }
     std::sort(pending.begin(), pending.end());
-    // Grows by as many hosts as have already come back fit.
+    // After the first batch, as many hosts may be in progress as are already back in service.
     const int limit = std::max(m_state.config().wave.firstBatch, done);
     for (const auto &[isNewRack, zone, rack, host] : pending) {
         if (inProgress >= limit || !canAddChange())
--- a/src/fleet/poolstepplacement.cpp
+++ b/src/fleet/poolstepplacement.cpp
@@ -1,4 +1,4 @@
-// Which hosts of a pool run the instances of its services.
+// The part of PoolStep that decides which hosts of the pool run which service instances.
 #include "poolstep.h"
 
 #include "oleanderhall/placement/instanceplacer.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Returns the zone with the most instances.
+/// Returns the zone with the most instances. `perZone` must not be empty.
 ZoneId fullestZone(const std::map<ZoneId, int> &perZone)
 {
     return std::max_element(perZone.begin(), perZone.end(),
@@ -40,7 +40,7 @@
         return rule == m_state.config().services.end() || rule->second.pool != m_pool;
     });
     if (next != record)
-        changeHost(next, "a service left the pool");
+        changeHost(next, "a service no longer runs in the pool");
 }
 
 void PoolStep::placeService(const ServiceRule &rule)
@@ -69,8 +69,8 @@
                               .startFailures = m_startFailures[host],
                               .holdsService = instance != nullptr});
     }
-    // The first instances wait until every host has joined or failed to, so that they are spread
-    // over all zones and a zone that is cut off has some of its own.
+    // The first instances are placed only after every host has joined or failed to join. This
+    // spreads them over all zones, so that a zone that is cut off later has instances of its own.
     if (placed == 0 && hasHostsToJoin())
         return;
     for (const HostId host : chooseInstanceHosts(candidates, rule.instances - placed)) {
@@ -84,21 +84,22 @@
         removeSurplusInstances(rule, candidates, perZone, placed);
 }
 
-/// A zone that lost its instances, and is back, gets one before another zone gives one up.
+// Adds an instance in a zone that has none, for instance after an outage. The surplus instance of
+// another zone is removed only once the new one is ready.
 void PoolStep::addInstanceToEmptyZone(const ServiceRule &rule,
                                       const std::vector<PlacementCandidate> &candidates,
                                       const std::map<ZoneId, int> &perZone)
 {
-    const bool canSpare = std::any_of(perZone.begin(), perZone.end(),
-                                      [](const auto &zone) { return zone.second > 1; });
-    std::vector<PlacementCandidate> uncovered;
+    const bool hasSurplus = std::any_of(perZone.begin(), perZone.end(),
+                                        [](const auto &zone) { return zone.second > 1; });
+    std::vector<PlacementCandidate> inEmptyZones;
     for (const PlacementCandidate &candidate : candidates) {
         if (!perZone.contains(candidate.zone) && candidate.startFailures == 0)
-            uncovered.push_back(candidate);
+            inEmptyZones.push_back(candidate);
     }
-    if (!canSpare || !canAddChange())
+    if (!hasSurplus || !canAddChange())
         return;
-    for (const HostId host : chooseInstanceHosts(uncovered, 1))
+    for (const HostId host : chooseInstanceHosts(inEmptyZones, 1))
         addInstance(host, rule);
 }
 
@@ -107,19 +108,19 @@
                                       std::map<ZoneId, int> perZone, int placed)
 {
     while (placed > rule.instances && canAddChange()) {
-        const auto isSpare = [&](const PlacementCandidate &candidate) {
+        const auto isSurplus = [&](const PlacementCandidate &candidate) {
             return candidate.holdsService && !isChanged(candidate.host)
                 && candidate.zone == fullestZone(perZone);
         };
-        const auto spare = std::find_if(candidates.rbegin(), candidates.rend(), isSpare);
-        if (spare == candidates.rend())
+        const auto surplus = std::find_if(candidates.rbegin(), candidates.rend(), isSurplus);
+        if (surplus == candidates.rend())
             return;
-        HostRecord next = *m_state.record(spare->host);
+        HostRecord next = *m_state.record(surplus->host);
         std::erase_if(next.instances, [&rule](const InstanceRecord &instance) {
             return instance.service == rule.id;
         });
-        changeHost(next, "has an instance of " + rule.id.name() + " more than the rule wants");
-        --perZone[spare->zone];
+        changeHost(next, "has an instance of " + rule.id.name() + " in excess of the rule");
+        --perZone[surplus->zone];
         --placed;
     }
 }
@@ -128,7 +129,7 @@
 {
     HostRecord next = *m_state.record(host);
     next.instances.push_back({.service = rule.id});
-    changeHost(next, "gets an instance of " + rule.id.name());
+    changeHost(next, "starts an instance of " + rule.id.name());
 }
 
 } // namespace oleanderhall
--- a/tests/fleet/poolplanner_test.cpp
+++ b/tests/fleet/poolplanner_test.cpp
@@ -17,7 +17,8 @@
 const PoolId kPoolA("a");
 const PoolId kPoolB("b");
 
-/// Does one random thing to the world, chosen by `random`.
+/// Applies one event to `world`, drawn from `random`: a step of a decider, a fault of a worker or
+/// entry host, or a change of the configuration.
 void applyRandomEvent(FleetWorld &world, std::mt19937 &random)
 {
     const auto pick = [&random](std::size_t size) { return random() % size; };
@@ -42,7 +43,7 @@
         state.isUp = !state.isUp;
         return;
     case 9:
-        state = {}; // The host restarts by itself and has forgotten everything.
+        state = {}; // An unplanned restart of the host; its worker starts with no state.
         return;
     case 10:
         entry.acknowledged = world.committed.sequence();
@@ -150,7 +151,8 @@
             world.execute(decider);
             world.now += Millis(250);
             if (round > 12)
-                CHECK(readyAlpha(world) >= 4); // the old instance stays until the new is ready
+                CHECK(readyAlpha(world)
+                      >= 4); // the surplus instance is kept until the new one is ready
         }
     };
     runWith(false, 24);
@@ -160,7 +162,7 @@
     CHECK(readyAlpha(world) == 4);
     const Sequence settled = world.committed.sequence();
     runWith(true, 20);
-    CHECK(world.committed.sequence() == settled); // nothing is left to improve
+    CHECK(world.committed.sequence() == settled); // no further changes are decided
 }
 
 TEST_CASE("PoolPlanner: a wave without faults: every host is maintained and the wave ends")
@@ -265,7 +267,8 @@
 
 TEST_CASE("PoolPlanner: entries committed without the check of the head: a budget is violated")
 {
-    // Shows that the property above can fail, and that the check of the head carries it.
+    // Shows that the property above can fail, and that it depends on the check of the head: without
+    // the check, an entry decided on an outdated state is committed.
     int broken = 0;
     for (std::uint32_t seed = 1; seed <= 100; ++seed)
         broken += runSchedule(seed, false).empty() ? 0 : 1;
--- a/tests/support/fleetworld.h
+++ b/tests/support/fleetworld.h
@@ -10,13 +10,13 @@
 
 namespace oleanderhall::test {
 
-/// A FleetWorld is a small fake of everything around PoolPlanner: the log, workers, entry hosts and
-/// time. Several deciders work on it, each with a view and observations as old as the test makes
-/// them. It checks each committed entry and collects violations.
+/// A fake environment for PoolPlanner: the change log, workers, entry hosts and time. Several
+/// deciders act on it, each with its own state and observations, which are as old as the test makes
+/// them. Checks each committed entry and collects the violations of the fleet's guarantees.
 class FleetWorld
 {
 public:
-    /// With `checksHead` off, an entry is committed whatever the head is by then.
+    /// If `checksHead` is false, entries are committed even if they were decided on an old head.
     explicit FleetWorld(bool checksHead)
         : m_checksHead(checksHead)
     {
@@ -34,6 +34,7 @@
             deciders.emplace_back();
     }
 
+    /// The actual state of the worker on a host.
     struct WorkerState
     {
         bool isUp = true;
@@ -41,6 +42,8 @@
         Epoch bootEpoch;
         std::vector<ServiceId> running;
     };
+    /// An entry host that plans for both pools: its copy of the state, its observations and the
+    /// plans that it has not yet executed.
     struct Decider
     {
         FleetState state;
@@ -55,15 +58,17 @@
     std::vector<Decider> deciders;
     std::vector<LogEntry> log;
     std::vector<std::string> violations;
-    FleetState committed;
+    FleetState committed; ///< The state after all entries of the log.
     Instant now{std::chrono::hours(1)};
 
+    /// Applies the log to the decider's state.
     void sync(Decider &decider)
     {
         for (const LogEntry &entry : log)
             decider.state.apply(entry);
     }
 
+    /// Observes all workers and entry hosts as they are now.
     void observe(Decider &decider)
     {
         decider.observations.hosts.clear();
@@ -80,6 +85,7 @@
         decider.observations.entryHostsObservedAt = decider.state.sequence();
     }
 
+    /// Decides for both pools on the decider's state and observations.
     void plan(Decider &decider)
     {
         decider.plans.clear();
@@ -88,6 +94,7 @@
                                        planner->decide(decider.state, decider.observations, now));
     }
 
+    /// Executes the commands of the decider's plans and commits their changes.
     void execute(Decider &decider)
     {
         for (const auto &[sequence, plan] : decider.plans) {
@@ -108,7 +115,7 @@
         decider.plans.clear();
     }
 
-    /// Commits an operator's change on the newest state.
+    /// Commits an operator's change on the current state.
     void commitOperatorChange(const Change &change)
     {
         LogEntry entry{.actor = EntryId("op"), .operation = "op", .reason = "operator"};
@@ -116,7 +123,7 @@
         commit(entry);
     }
 
-    /// Everything works and everybody is up to date, for `rounds` decisions.
+    /// Runs `rounds` decisions, 250 ms apart, with all workers up and all entry hosts up to date.
     void runHealthyRounds(int rounds)
     {
         for (int round = 0; round < rounds; ++round) {
@@ -135,6 +142,7 @@
         }
     }
 
+    /// Returns the number of Serving hosts in `pool`.
     int serving(PoolId pool) const
     {
         int count = 0;
@@ -169,6 +177,7 @@
         }
     }
 
+    /// Records a violation if the change from `before` to `after` breaks a guarantee.
     void check(const HostRecord &before, const HostRecord &after)
     {
         if (before.pool != after.pool && before.state != HostState::Stopped)
@@ -181,6 +190,7 @@
             checkBudget(after);
     }
 
+    /// Records a violation if an entry host of the zone may still route to a host that has stopped.
     void checkViews(const HostRecord &drained)
     {
         const ZoneId zone = m_config.hosts.at(drained.id).zone;
@@ -190,6 +200,7 @@
         }
     }
 
+    /// Records a violation if the planned disruption of `host` exceeds the budget of its pool.
     void checkBudget(const HostRecord &host)
     {
         const PoolRule &rule = committed.config().pools.at(host.pool);
--- a/tests/support/registers.h
+++ b/tests/support/registers.h
@@ -4,8 +4,8 @@
 
 namespace oleanderhall::test {
 
-/// Returns a register of two pools with six hosts each in three zones, two racks a zone; pool "a"
-/// runs service "alpha" and pool "b" service "beta".
+/// Returns a register with two pools of six hosts each, in three zones with two racks each. Pool
+/// "a" runs the service "alpha" and pool "b" the service "beta".
 inline Register smallRegister()
 {
     Register result;
