--- a/include/oleanderhall/rollout/changelog.h
+++ b/include/oleanderhall/rollout/changelog.h
@@ -12,17 +12,18 @@
 
 namespace oleanderhall {
 
-/// How an attempt to append to the log ended.
+/// The outcome of an append to the change log.
 enum class AppendOutcome {
     Committed, ///< The entry is in the log.
-    Conflict, ///< Another entry took its place; this one will never be in the log.
-    Unknown, ///< It may be in the log now or later. Read the head, then decide anew.
+    Conflict, ///< Another entry has the same sequence; this one will never be in the log.
+    Unknown, ///< The entry may be in the log now or later. Read the head and decide again.
 };
 
-/// A ChangeLog keeps the fleet's changes in the platform's table. An entry is appended by one
-/// transaction that holds only if the head still is the one that the entry was decided on; so every
-/// decision was taken on the very state that it changes, whoever took it and however late. It is
-/// the platform's table that keeps the log; nothing here does.
+/// The log of the fleet's changes in the platform's table. Each entry is appended by one
+/// transaction on the condition that the head is still the one on which the entry was decided. A
+/// decision can therefore only change the state on which it was made, whoever makes it and however
+/// late it arrives. The ChangeLog itself has no state beyond its references to the table and the
+/// store.
 template <Table TableType, ObjectStore StoreType>
 class ChangeLog
 {
@@ -32,17 +33,18 @@
         , m_store(store)
     {}
 
-    /// Reads the head. A table without one holds an empty log. Throws PlatformUnavailable.
+    /// Reads the head. Returns the head of an empty log if the table has none. Throws
+    /// PlatformUnavailable, and InvalidDocument if the stored head is invalid.
     LogHead readHead()
     {
         const auto item = m_table.read(headKey());
         return item ? parseHead(item->data) : LogHead{};
     }
 
-    /// Appends `entry`, which must follow `head`. Throws InvalidDocument and writes nothing when
-    /// the entry could not be read back, since every entry host would stop at it. `configAfter` is
-    /// the whole configuration after the entry; it is written out when the entry accepts one that
-    /// needs a new base. After Committed, `head` is the new head.
+    /// Appends `entry`, which must directly follow `head`. `configAfter` is the full configuration
+    /// after the entry; it is stored as the new base configuration if one is due. Updates `head` if
+    /// the outcome is Committed. Throws InvalidDocument and writes nothing if parseLogEntry()
+    /// rejects the entry, because no entry host could read past it.
     AppendOutcome append(const LogEntry &entry, const Register &configAfter, LogHead &head)
     {
         LogHead next = nextHead(head, entry);
@@ -73,8 +75,8 @@
         return AppendOutcome::Committed;
     }
 
-    /// Returns the entries that follow `sequence`, in order, at most `limit`. Throws
-    /// PlatformUnavailable.
+    /// Returns at most `limit` of the entries that follow `sequence`, in order. Throws
+    /// PlatformUnavailable, and InvalidDocument if a stored entry is invalid.
     std::vector<LogEntry> readAfter(Sequence sequence, std::size_t limit)
     {
         std::vector<LogEntry> entries;
@@ -84,8 +86,9 @@
         return entries;
     }
 
-    /// Loads the state as of the head. Records may be newer than the head; FleetState::apply()
-    /// allows for that. Throws PlatformUnavailable.
+    /// Loads the state at the head. Host records that are written during the load may be newer than
+    /// the head, which FleetState::apply() allows. Throws PlatformUnavailable, and InvalidDocument
+    /// if stored data is invalid.
     FleetState load()
     {
         const LogHead head = readHead();
@@ -103,6 +106,7 @@
     }
 
 private:
+    /// Reads the row of `entry` to learn the outcome of a transaction whose response was lost.
     AppendOutcome readBack(const LogEntry &entry)
     {
         try {
@@ -117,6 +121,7 @@
         }
     }
 
+    /// Returns `data`, or the stored object if `data` is a reference to one.
     std::string resolve(const std::string &data)
     {
         const auto reference = referenceIn(data);
--- a/include/oleanderhall/rollout/loghead.h
+++ b/include/oleanderhall/rollout/loghead.h
@@ -6,20 +6,20 @@
 
 namespace oleanderhall {
 
-/// A LogHead is the one small row that entry hosts read to learn whether anything changed.
+/// The head of the change log: a small row that entry hosts poll to detect changes.
 struct LogHead
 {
     Sequence sequence;
     ConfigVersion config;
-    std::string baseKey; ///< The object that holds a whole configuration, or empty.
-    ConfigVersion baseVersion; ///< The version of that configuration.
+    std::string baseKey; ///< Key of the object with the base configuration, or empty.
+    ConfigVersion baseVersion; ///< Version of the base configuration.
 
     friend bool operator==(const LogHead &, const LogHead &) = default;
 };
 
-/// Returns the head as stored in the table.
+/// Returns the JSON text of `head` that is stored in the table.
 std::string encodeHead(const LogHead &head);
-/// Parses what encodeHead() wrote. Throws InvalidDocument.
+/// Parses the output of encodeHead(). Throws InvalidDocument with all findings.
 LogHead parseHead(const std::string &text);
 
 } // namespace oleanderhall
--- a/src/rollout/logcodec.cpp
+++ b/src/rollout/logcodec.cpp
@@ -63,7 +63,7 @@
 
 std::string rowOf(Sequence sequence)
 {
-    constexpr int kDigits = 20; // of the largest 64-bit number
+    constexpr int kDigits = 20; // enough for the largest 64-bit number
     std::string digits = std::to_string(sequence.value);
     return std::string(kDigits - digits.size(), '0') + digits;
 }
