--- a/include/oleanderhall/register/hostspec.h
+++ b/include/oleanderhall/register/hostspec.h
@@ -7,15 +7,15 @@
 
 namespace oleanderhall {
 
-/// A HostSpec is one line of the operators' asset register: where a host stands, what it has and
-/// the one pool that it belongs to.
+/// A host in the operators' asset register: its location, its resources and the single pool to
+/// which it is assigned.
 struct HostSpec
 {
     HostId id;
     ZoneId zone;
     RackId rack;
     PoolId pool;
-    std::string address; ///< IP number on which the host's service instances listen.
+    std::string address; ///< IP address on which the host's service instances listen.
     std::uint16_t cores = 0;
     std::uint16_t memoryGb = 0;
 
--- a/include/oleanderhall/register/register.h
+++ b/include/oleanderhall/register/register.h
@@ -9,7 +9,7 @@
 
 namespace oleanderhall {
 
-/// A Register is the accepted configuration: the hosts of the asset register and the rules on top.
+/// The accepted configuration: the hosts of the asset register and the rules for them.
 struct Register
 {
     std::map<HostId, HostSpec> hosts;
--- a/include/oleanderhall/register/registerpatch.h
+++ b/include/oleanderhall/register/registerpatch.h
@@ -6,7 +6,7 @@
 
 namespace oleanderhall {
 
-/// A RegisterPatch is the difference between two registers: the items to set and those to remove.
+/// The difference between two registers: the items to set and the ids of the items to remove.
 struct RegisterPatch
 {
     std::vector<HostSpec> hosts;
@@ -15,7 +15,7 @@
     std::vector<PoolId> removedPools;
     std::vector<ServiceRule> services;
     std::vector<ServiceId> removedServices;
-    std::vector<WaveRule> wave; ///< Empty, or the one new rule.
+    std::vector<WaveRule> wave; ///< The new rule, or empty if it is unchanged.
 
     bool empty() const;
     friend bool operator==(const RegisterPatch &, const RegisterPatch &) = default;
@@ -24,7 +24,7 @@
 /// Returns the patch that turns `before` into `after`.
 RegisterPatch difference(const Register &before, const Register &after);
 
-/// Applies `patch` to `target`. Applying a patch twice gives the same register.
+/// Applies `patch` to `target`. Idempotent.
 void applyPatch(Register &target, const RegisterPatch &patch);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/register/servicerule.h
+++ b/include/oleanderhall/register/servicerule.h
@@ -9,19 +9,19 @@
 
 namespace oleanderhall {
 
-/// A ServiceRule says where a service's instances run, what each can take and which of its calls
-/// may not be repeated.
+/// The configuration of a service: where its instances run, the capacity of each, and which
+/// requests must not be retried.
 struct ServiceRule
 {
     ServiceId id;
     PoolId pool;
     int instances = 1;
-    std::uint16_t port = 0; ///< Unique to the service, so an old view can't reach another service.
-    int slots = 8; ///< Requests that one instance runs at a time.
-    int connections = 64; ///< Connections that one instance accepts.
+    std::uint16_t port = 0; ///< Unique, so that an old view can't route to another service.
+    int slots = 8; ///< Requests that one instance executes concurrently.
+    int connections = 64; ///< Concurrent connections that one instance accepts.
     Millis defaultTimeout{2000};
     std::vector<UnrepeatableCall> unrepeatable;
-    std::vector<int> notRunStatuses; ///< Status codes by which an instance refuses before work.
+    std::vector<int> notRunStatuses; ///< Status codes that mean the request was not executed.
 
     friend bool operator==(const ServiceRule &, const ServiceRule &) = default;
 };
--- a/include/oleanderhall/register/unrepeatablecall.h
+++ b/include/oleanderhall/register/unrepeatablecall.h
@@ -4,8 +4,8 @@
 
 namespace oleanderhall {
 
-/// An UnrepeatableCall names requests that must run at most once: a method and a path prefix below
-/// the service's own path.
+/// Selects the requests that must be executed at most once, by method and by path prefix. The
+/// prefix is relative to the service's own path.
 struct UnrepeatableCall
 {
     std::string method;
--- a/include/oleanderhall/register/waverule.h
+++ b/include/oleanderhall/register/waverule.h
@@ -4,12 +4,12 @@
 
 namespace oleanderhall {
 
-/// A WaveRule says how maintenance waves grow and when they stop by themselves.
+/// Controls how fast maintenance waves proceed and when they stop automatically.
 struct WaveRule
 {
-    int firstBatch = 1; ///< Hosts disrupted at a time until the first have come back.
-    int maxFailures = 2; ///< Hosts that may fail to come back before the wave stops.
-    Millis returnTimeout{60000}; ///< How long a host may take from its reboot until it is fit.
+    int firstBatch = 1; ///< Hosts disrupted at the same time until that many are back.
+    int maxFailures = 2; ///< Failed hosts at which the wave stops.
+    Millis returnTimeout{60000}; ///< Time limit for a reboot, and for joining the pool after it.
 
     friend bool operator==(const WaveRule &, const WaveRule &) = default;
 };
--- a/src/register/registerparser.cpp
+++ b/src/register/registerparser.cpp
@@ -28,7 +28,7 @@
     const std::string name = item.id.name();
     const Id id = item.id;
     if (!items.emplace(id, std::move(item)).second)
-        cursor.report("id", "'" + name + "' stands twice", "an id used once");
+        cursor.report("id", "'" + name + "' is used more than once", "a unique id");
 }
 
 template <typename Id>
@@ -43,7 +43,7 @@
     }
     for (const web::json::value &element : array.as_array()) {
         if (!element.is_string())
-            cursor.report(key, "holds a value that is no text", "an array of strings");
+            cursor.report(key, "contains a value that is not a string", "an array of strings");
         else
             names.push_back(Id(element.as_string()));
     }
@@ -73,7 +73,7 @@
         if (size > 0 && rule.minAvailable >= size) {
             findings.add({file, place + "/minAvailable",
                           "no host of pool '" + id.name()
-                              + "' could ever be maintained: " + std::to_string(rule.minAvailable)
+                              + "' can ever be maintained: " + std::to_string(rule.minAvailable)
                               + " of " + std::to_string(size) + " hosts must stay available",
                           "at most " + std::to_string(size - 1)});
         }
@@ -97,9 +97,9 @@
         const auto [other, isNew] = ports.emplace(rule.port, id);
         if (!isNew) {
             findings.add({file, place + "/port",
-                          "port " + std::to_string(rule.port) + " belongs to service '"
-                              + other->second.name() + "' too",
-                          "a port of its own for each service"});
+                          "port " + std::to_string(rule.port) + " is already used by service '"
+                              + other->second.name() + "'",
+                          "a unique port for each service"});
         }
         const auto size = sizes.find(rule.pool);
         if (size == sizes.end() || rule.instances > size->second) {
@@ -127,7 +127,7 @@
     boost::system::error_code failed;
     boost::asio::ip::make_address(spec.address, failed);
     if (failed)
-        cursor.report("address", "is not an IP number", "an IPv4 or IPv6 address");
+        cursor.report("address", "is not an IP address", "an IPv4 or IPv6 address");
     return spec;
 }
 
@@ -206,10 +206,10 @@
         }
         const auto [other, isNew] = addresses.emplace(host.address, id);
         if (!isNew) {
-            findings.add(
-                {file, place + "/address",
-                 "address " + host.address + " belongs to host '" + other->second.name() + "' too",
-                 "an address of its own for each host"});
+            findings.add({file, place + "/address",
+                          "address " + host.address + " is already used by host '"
+                              + other->second.name() + "'",
+                          "a unique address for each host"});
         }
     }
     checkPools(candidate, file, findings);
@@ -234,8 +234,8 @@
         const auto known = current.hosts.find(id);
         if (known != current.hosts.end() && known->second.address != host.address) {
             findings.add({"register", "/hosts/" + id.name() + "/address",
-                          "the address of a known host changed",
-                          "removal of the host first, then a new entry"});
+                          "the address of a registered host changed",
+                          "removal of the host before it is added with a new address"});
         }
     }
 }
