--- a/include/oleanderhall/fleet/disruptionbudget.h
+++ b/include/oleanderhall/fleet/disruptionbudget.h
@@ -9,8 +9,9 @@
 
 namespace oleanderhall {
 
-/// The availability budget of a pool. Planned and unplanned unavailability count alike. Construct a
-/// new budget for each decision; recordDisruption() and recordLoss() update it within a decision.
+/// The availability budget of a pool. Planned and unplanned unavailability count alike, except that
+/// the limit on racks counts planned disruptions only. Construct a new budget for each decision;
+/// recordDisruption() and recordLoss() update it within a decision.
 class DisruptionBudget
 {
 public:
--- a/tests/fleet/poolplanner_test.cpp
+++ b/tests/fleet/poolplanner_test.cpp
@@ -150,9 +150,9 @@
             world.plan(decider);
             world.execute(decider);
             world.now += Millis(250);
+            // The surplus instance is kept until the new one is ready.
             if (round > 12)
-                CHECK(readyAlpha(world)
-                      >= 4); // the surplus instance is kept until the new one is ready
+                CHECK(readyAlpha(world) >= 4);
         }
     };
     runWith(false, 24);
