--- a/src/fleet/poolbudget.cpp
+++ b/src/fleet/disruptionbudget.cpp
@@ -1,10 +1,11 @@
-#include "oleanderhall/fleet/poolbudget.h"
+#include "oleanderhall/fleet/disruptionbudget.h"
 
 namespace oleanderhall {
 
-PoolBudget::PoolBudget(const FleetState &state, PoolId pool, const Observations &seen)
+DisruptionBudget::DisruptionBudget(const FleetState &state, PoolId pool,
+                                   const Observations &observations)
     : m_state(state)
-    , m_seen(seen)
+    , m_observations(observations)
 {
     const auto rule = state.config().pools.find(pool);
     if (rule != state.config().pools.end())
@@ -20,37 +21,38 @@
     }
 }
 
-std::optional<std::string> PoolBudget::refusal(HostId host) const
+std::optional<std::string> DisruptionBudget::refusalReason(HostId host) const
 {
     const HostRecord *record = m_state.record(host);
     if (record && !isAvailable(*record))
-        return "the host is not available itself";
+        return "the host itself is unavailable";
     if (m_available - 1 < m_rule.minAvailable)
         return "minAvailable " + std::to_string(m_rule.minAvailable) + " is reached with "
             + std::to_string(m_available) + " available";
     if (m_unavailable + 1 > m_rule.maxUnavailable)
-        return "maxUnavailable " + std::to_string(m_rule.maxUnavailable) + " is used up";
+        return "maxUnavailable " + std::to_string(m_rule.maxUnavailable) + " is exhausted";
     std::set<RackId> racks = m_disruptedRacks;
     racks.insert(rackOf(host));
     if (static_cast<int>(racks.size()) > m_rule.maxDisruptedRacks)
-        return "maxDisruptedRacks " + std::to_string(m_rule.maxDisruptedRacks) + " is used up";
+        return "maxDisruptedRacks " + std::to_string(m_rule.maxDisruptedRacks) + " is exhausted";
     return std::nullopt;
 }
 
-void PoolBudget::admit(HostId host)
+void DisruptionBudget::recordDisruption(HostId host)
 {
     --m_available;
     ++m_unavailable;
     m_disruptedRacks.insert(rackOf(host));
 }
 
-bool PoolBudget::isAvailable(const HostRecord &record) const
+bool DisruptionBudget::isAvailable(const HostRecord &record) const
 {
-    return record.state == HostState::Serving && m_seen.of(record).health == Health::Fit
-        && !hasLostTasks(record, m_seen);
+    return record.state == HostState::Serving
+        && m_observations.currentFor(record).health == Health::Healthy
+        && !hasLostInstances(record, m_observations);
 }
 
-void PoolBudget::lose(const HostRecord &record)
+void DisruptionBudget::recordLoss(const HostRecord &record)
 {
     if (!isAvailable(record))
         return;
@@ -58,10 +60,11 @@
     ++m_unavailable;
 }
 
-RackId PoolBudget::rackOf(HostId host) const
+RackId DisruptionBudget::rackOf(HostId host) const
 {
     const HostSpec *spec = m_state.spec(host);
-    // A host that left the register keeps a domain of its own, the strictest reading.
+    // The rack of a host that is no longer in the register is unknown. Counting it as a rack of
+    // its own is the strictest assumption.
     return spec ? spec->rack : RackId("host:" + host.name());
 }
 
--- a/src/fleet/poolstep.h
+++ b/src/fleet/poolstep.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "oleanderhall/fleet/poolbudget.h"
+#include "oleanderhall/fleet/disruptionbudget.h"
 #include "oleanderhall/fleet/poolplan.h"
 #include "oleanderhall/fleet/poolplanner.h"
 #include "oleanderhall/placement/instanceplacer.h"
@@ -10,18 +10,23 @@
 
 namespace oleanderhall {
 
-/// Internal: one run of PoolPlanner::decide. It collects changes in `m_plan`; each host changes at
-/// most once in a step.
+/// Internal: a single run of PoolPlanner::decide(). Collects the changes in `m_plan`; each host
+/// changes at most once per step. The methods are called in the order of their declaration.
 class PoolStep
 {
 public:
-    PoolStep(const FleetState &state, const Observations &seen, PoolId pool,
+    PoolStep(const FleetState &state, const Observations &observations, PoolId pool,
              const PlannerSettings &settings, std::map<HostId, int> &startFailures);
 
+    /// Takes the next step of the host's lifecycle. `sinceChange` is the age of the record.
     void progress(const HostRecord &record, Millis sinceChange);
+    /// Adds records for the hosts that the register newly assigns to the pool.
     void admitNewHosts();
+    /// Adds and removes instances so that the pool's services have as many as their rules say.
     void placeInstances();
+    /// Starts to drain hosts that leave, move, are removed or are due in a wave.
     void admitDisruptions();
+    /// Ends the running wave when all hosts are done or too many have failed.
     void advanceWave();
     PoolPlan takePlan() { return std::move(m_plan); }
 
@@ -34,42 +39,49 @@
     void progressFailed(const HostRecord &record, Millis sinceChange);
 
     void placeService(const ServiceRule &rule);
-    void coverEmptyZone(const ServiceRule &rule, const std::vector<PlacementCandidate> &candidates,
-                        const std::map<ZoneId, int> &perZone);
-    void dropSpareInstances(const ServiceRule &rule,
-                            const std::vector<PlacementCandidate> &candidates,
-                            std::map<ZoneId, int> perZone, int held);
+    void addInstanceToEmptyZone(const ServiceRule &rule,
+                                const std::vector<PlacementCandidate> &candidates,
+                                const std::map<ZoneId, int> &perZone);
+    void removeSurplusInstances(const ServiceRule &rule,
+                                const std::vector<PlacementCandidate> &candidates,
+                                std::map<ZoneId, int> perZone, int placed);
     void addInstance(HostId host, const ServiceRule &rule);
-    void dropForeignInstances(const HostRecord &record);
+    void removeObsoleteInstances(const HostRecord &record);
     void admitWaveHosts(const WaveRecord &wave);
     bool tryDisrupt(const HostRecord &record, Disruption disruption, const std::string &why);
     bool hasHostsToJoin() const;
-    bool servicesSettled() const;
-    bool isClear(const HostRecord &record, Millis sinceChange) const;
+    /// Returns true if every service has its required number of ready instances, or one on every
+    /// serving host if there are fewer hosts.
+    bool areServicesReady() const;
+    /// Returns true once no entry host can send work to the host by a view older than `record`.
+    bool isChangePropagated(const HostRecord &record, Millis sinceChange) const;
+    /// Returns true if the view lease of an entry host in the host's zone has expired, or in any
+    /// zone if the host's zone is unknown. Such an entry host still routes to the hosts of its zone
+    /// by an old view, so none of them may be disrupted.
     bool isZoneFrozen(HostId host) const;
     bool isLost(const HostRecord &record) const;
-    bool hasRoom() const;
+    bool canAddChange() const;
     bool isChanged(HostId host) const { return m_changed.contains(host); }
     PoolId registeredPool(HostId host) const;
     Epoch newEpoch() const { return {m_state.sequence().next().value}; }
 
-    void change(HostRecord record, const std::string &why);
-    void fail(const HostRecord &record, const std::string &why);
+    void changeHost(HostRecord record, const std::string &why);
+    void markFailed(const HostRecord &record, const std::string &why);
     void rejoin(const HostRecord &record, PoolId pool, const std::string &why);
-    void command(const HostRecord &record, WorkerCommand::Kind kind,
-                 std::vector<ServiceId> services);
+    void addCommand(const HostRecord &record, WorkerCommand::Kind kind,
+                    std::vector<ServiceId> services);
     void addReason(const std::string &why);
 
     const FleetState &m_state;
-    const Observations &m_seen;
+    const Observations &m_observations;
     PoolId m_pool;
     const PlannerSettings &m_settings;
     std::map<HostId, int> &m_startFailures;
-    PoolBudget m_budget;
-    bool m_distrustsLoss = false; ///< So many hosts seem lost that none is given up on.
-    bool m_distrustsList = false; ///< So many hosts are called leaving that the budget decides.
+    DisruptionBudget m_budget;
+    bool m_ignoresUnhealthy = false; ///< Too many hosts unhealthy at once: none is marked failed.
+    bool m_budgetsLeaving = false; ///< Too many hosts leaving at once: the budget limits drains.
     PoolPlan m_plan;
-    std::map<HostId, HostRecord> m_changed;
+    std::map<HostId, HostRecord> m_changed; ///< The hosts that this step has changed.
 };
 
 } // namespace oleanderhall
--- a/tests/support/fleetworld.h
+++ b/tests/support/fleetworld.h
@@ -10,23 +10,23 @@
 
 namespace oleanderhall::test {
 
-/// A FleetWorld is a small fake of everything around PoolPlanner: the log, workers, entry hosts and
-/// time. Several deciders work on it, each with a view and observations as old as the test makes
-/// them. It checks each committed entry and collects violations.
+/// A fake environment for PoolPlanner: the change log, workers, entry hosts and time. Several
+/// deciders act on it, each with its own state and observations, which are as old as the test makes
+/// them. Checks each committed entry and collects the violations of the fleet's guarantees.
 class FleetWorld
 {
 public:
-    /// With `checksHead` off, an entry is committed whatever the head is by then.
+    /// If `checksHead` is false, entries are committed even if they were decided on an old head.
     explicit FleetWorld(bool checksHead)
         : m_checksHead(checksHead)
     {
         for (const auto &[id, host] : m_config.hosts)
             workers[id] = {};
         for (int index = 0; index < 3; ++index)
-            entries.push_back({EntryId("e" + std::to_string(index)),
-                               ZoneId("z" + std::to_string(index)),
-                               {},
-                               false});
+            entryHosts.push_back({EntryId("e" + std::to_string(index)),
+                                  ZoneId("z" + std::to_string(index)),
+                                  {},
+                                  false});
         LogEntry first{.actor = EntryId("op"), .operation = "first", .reason = "first"};
         first.changes.push_back(ConfigChange{{1}, difference(Register{}, m_config)});
         commit(first);
@@ -34,6 +34,7 @@
             deciders.emplace_back();
     }
 
+    /// The actual state of the worker on a host.
     struct WorkerState
     {
         bool isUp = true;
@@ -41,58 +42,64 @@
         Epoch bootEpoch;
         std::vector<ServiceId> running;
     };
+    /// An entry host that plans for both pools: its copy of the state, its observations and the
+    /// plans that it has not yet executed.
     struct Decider
     {
         FleetState state;
-        Observations seen;
+        Observations observations;
         PoolPlanner plannerA{PoolId("a")};
         PoolPlanner plannerB{PoolId("b")};
         std::vector<std::pair<Sequence, PoolPlan>> plans;
     };
 
     std::map<HostId, WorkerState> workers;
-    std::vector<EntryObservation> entries;
+    std::vector<EntryHostObservation> entryHosts;
     std::vector<Decider> deciders;
     std::vector<LogEntry> log;
     std::vector<std::string> violations;
-    FleetState truth;
+    FleetState committed; ///< The state after all entries of the log.
     Instant now{std::chrono::hours(1)};
 
+    /// Applies the log to the decider's state.
     void sync(Decider &decider)
     {
         for (const LogEntry &entry : log)
             decider.state.apply(entry);
     }
 
+    /// Observes all workers and entry hosts as they are now.
     void observe(Decider &decider)
     {
-        decider.seen.hosts.clear();
+        decider.observations.hosts.clear();
         for (const auto &[id, worker] : workers) {
-            HostObservation seen{.health = worker.isUp ? Health::Fit : Health::Unfit,
-                                 .seenAt = decider.state.sequence()};
-            seen.workerEpoch = worker.epoch;
-            seen.bootEpoch = worker.bootEpoch;
-            seen.running = worker.running;
-            seen.activeInstances = static_cast<int>(worker.running.size());
-            decider.seen.hosts.emplace(id, seen);
+            HostObservation observation{.health = worker.isUp ? Health::Healthy : Health::Unhealthy,
+                                        .observedAt = decider.state.sequence()};
+            observation.workerEpoch = worker.epoch;
+            observation.bootEpoch = worker.bootEpoch;
+            observation.running = worker.running;
+            observation.activeInstances = static_cast<int>(worker.running.size());
+            decider.observations.hosts.emplace(id, observation);
         }
-        decider.seen.entries = entries;
-        decider.seen.entriesSeenAt = decider.state.sequence();
+        decider.observations.entryHosts = entryHosts;
+        decider.observations.entryHostsObservedAt = decider.state.sequence();
     }
 
+    /// Decides for both pools on the decider's state and observations.
     void plan(Decider &decider)
     {
         decider.plans.clear();
         for (PoolPlanner *planner : {&decider.plannerA, &decider.plannerB})
             decider.plans.emplace_back(decider.state.sequence(),
-                                       planner->decide(decider.state, decider.seen, now));
+                                       planner->decide(decider.state, decider.observations, now));
     }
 
-    void carryOut(Decider &decider)
+    /// Executes the commands of the decider's plans and commits their changes.
+    void execute(Decider &decider)
     {
         for (const auto &[sequence, plan] : decider.plans) {
             for (const WorkerCommand &command : plan.commands)
-                obey(command);
+                executeCommand(command);
             if (plan.changes.empty())
                 continue;
             LogEntry entry{.sequence = sequence.next(),
@@ -100,7 +107,7 @@
                            .operation = "o",
                            .reason = plan.reason,
                            .changes = plan.changes};
-            if (entry.sequence == truth.sequence().next())
+            if (entry.sequence == committed.sequence().next())
                 commit(entry);
             else if (!m_checksHead)
                 commit(entry);
@@ -108,43 +115,44 @@
         decider.plans.clear();
     }
 
-    /// Commits an operator's change on the newest state.
-    void operate(const Change &change)
+    /// Commits an operator's change on the current state.
+    void commitOperatorChange(const Change &change)
     {
         LogEntry entry{.actor = EntryId("op"), .operation = "op", .reason = "operator"};
         entry.changes.push_back(change);
         commit(entry);
     }
 
-    /// Everything works and everybody is up to date, for `rounds` decisions.
-    void settle(int rounds)
+    /// Runs `rounds` decisions, 250 ms apart, with all workers up and all entry hosts up to date.
+    void runHealthyRounds(int rounds)
     {
         for (int round = 0; round < rounds; ++round) {
             for (auto &[id, worker] : workers)
                 worker.isUp = true;
-            for (EntryObservation &entry : entries) {
-                entry.acknowledged = truth.sequence();
-                entry.lapsed = false;
+            for (EntryHostObservation &entry : entryHosts) {
+                entry.acknowledged = committed.sequence();
+                entry.leaseExpired = false;
             }
             Decider &decider = deciders[0];
             sync(decider);
             observe(decider);
             plan(decider);
-            carryOut(decider);
+            execute(decider);
             now += Millis(250);
         }
     }
 
+    /// Returns the number of Serving hosts in `pool`.
     int serving(PoolId pool) const
     {
         int count = 0;
-        for (const HostId host : truth.hostsOf(pool))
-            count += truth.record(host)->state == HostState::Serving ? 1 : 0;
+        for (const HostId host : committed.hostsOf(pool))
+            count += committed.record(host)->state == HostState::Serving ? 1 : 0;
         return count;
     }
 
 private:
-    void obey(const WorkerCommand &command)
+    void executeCommand(const WorkerCommand &command)
     {
         WorkerState &worker = workers[command.host];
         if (!worker.isUp || command.epoch < worker.epoch)
@@ -157,9 +165,9 @@
 
     void commit(LogEntry entry)
     {
-        entry.sequence = truth.sequence().next();
-        const FleetState before = truth;
-        truth.apply(entry);
+        entry.sequence = committed.sequence().next();
+        const FleetState before = committed;
+        committed.apply(entry);
         log.push_back(entry);
         for (const Change &change : entry.changes) {
             if (const auto *host = std::get_if<HostChange>(&change)) {
@@ -169,6 +177,7 @@
         }
     }
 
+    /// Records a violation if the change from `before` to `after` breaks a guarantee.
     void check(const HostRecord &before, const HostRecord &after)
     {
         if (before.pool != after.pool && before.state != HostState::Stopped)
@@ -181,19 +190,21 @@
             checkBudget(after);
     }
 
+    /// Records a violation if an entry host of the zone may still route to a host that has stopped.
     void checkViews(const HostRecord &drained)
     {
         const ZoneId zone = m_config.hosts.at(drained.id).zone;
-        for (const EntryObservation &entry : entries) {
+        for (const EntryHostObservation &entry : entryHosts) {
             if (entry.acknowledged < drained.changedAt && entry.zone == zone)
                 violations.push_back(drained.id.name() + " stopped while an old view may use it");
         }
     }
 
+    /// Records a violation if the planned disruption of `host` exceeds the budget of its pool.
     void checkBudget(const HostRecord &host)
     {
-        const PoolRule &rule = truth.config().pools.at(host.pool);
-        const int total = static_cast<int>(truth.hostsOf(host.pool).size());
+        const PoolRule &rule = committed.config().pools.at(host.pool);
+        const int total = static_cast<int>(committed.hostsOf(host.pool).size());
         const int available = serving(host.pool);
         if (available < rule.minAvailable || total - available > rule.maxUnavailable)
             violations.push_back("draining " + host.id.name() + " leaves "
