--- a/include/oleanderhall/platform/tabletypes.h
+++ b/include/oleanderhall/platform/tabletypes.h
@@ -36,7 +36,8 @@
 
     Kind kind = Kind::Put;
     TableKey key;
-    std::optional<std::uint64_t> expected; ///< The version the row must have, or no condition.
+    std::optional<std::uint64_t>
+        expectedVersion; ///< The version the row must have, or no condition.
     std::uint64_t version = 0; ///< The row's new version.
     std::string data;
 };
--- a/include/oleanderhall/platform/workerclient.h
+++ b/include/oleanderhall/platform/workerclient.h
@@ -16,7 +16,7 @@
     WorkerClient(std::string address, Millis timeout);
 
     /// Returns the body of a command; `config` gives the settings of the services named.
-    static std::string bodyOf(const WorkerCommand &command, const Register &config);
+    static std::string commandBody(const WorkerCommand &command, const Register &config);
     /// Sends a command with its body. Throws PlatformUnavailable when it is not known to be taken;
     /// it may be repeated then.
     void send(const WorkerCommand &command, const std::string &body);
--- a/include/oleanderhall/routing/outagegate.h
+++ b/include/oleanderhall/routing/circuitbreaker.h
@@ -4,38 +4,38 @@
 
 namespace oleanderhall {
 
-/// An OutageGate keeps requests from waiting for something that is known to be away. After a
+/// An CircuitBreaker keeps requests from waiting for something that is known to be away. After a
 /// failure it lets one request through from time to time to find out whether the outage has ended,
 /// and turns the others down at once. It is not synchronised.
-class OutageGate
+class CircuitBreaker
 {
 public:
     /// `probePeriod` is the time between two tries during an outage.
-    explicit OutageGate(Millis probePeriod)
-        : m_probePeriod(probePeriod)
+    explicit CircuitBreaker(Millis probePeriod)
+        : m_probeInterval(probePeriod)
     {}
 
     /// Says whether a request may try now. During an outage, a yes is the probe of its period.
-    bool mayTry(Instant now)
+    bool allowRequest(Instant now)
     {
-        if (!m_isOut)
+        if (!m_isOpen)
             return true;
         if (now < m_nextProbe)
             return false;
-        m_nextProbe = now + m_probePeriod;
+        m_nextProbe = now + m_probeInterval;
         return true;
     }
-    void succeeded() { m_isOut = false; }
-    void failed(Instant now)
+    void recordSuccess() { m_isOpen = false; }
+    void recordFailure(Instant now)
     {
-        if (!m_isOut)
-            m_nextProbe = now + m_probePeriod;
-        m_isOut = true;
+        if (!m_isOpen)
+            m_nextProbe = now + m_probeInterval;
+        m_isOpen = true;
     }
 
 private:
-    Millis m_probePeriod;
-    bool m_isOut = false;
+    Millis m_probeInterval;
+    bool m_isOpen = false;
     Instant m_nextProbe;
 };
 
--- a/include/oleanderhall/routing/claimrecord.h
+++ b/include/oleanderhall/routing/claimrecord.h
@@ -26,27 +26,28 @@
     int status = 0; ///< The answer's status code, when Done.
     std::string contentType;
     std::string body;
-    bool keepsBody = false; ///< Whether the answer was small enough to be kept.
+    bool hasStoredBody = false; ///< Whether the answer was small enough to be kept.
 
     friend bool operator==(const ClaimRecord &, const ClaimRecord &) = default;
 };
 
 /// The request may be claimed, replacing the row that was read.
-struct MayClaim
+struct ClaimAllowed
 {};
 
 /// The kept answer is the answer to this repetition as well.
-struct ReplayAnswer
+struct ReplayedResponse
 {
     int status = 0;
     std::string contentType;
     std::string body;
 };
 
-using ClaimVerdict = std::variant<MayClaim, ReplayAnswer, Refusal>;
+using ClaimDecision = std::variant<ClaimAllowed, ReplayedResponse, Refusal>;
 
 /// Decides what a request may do, given the row under its key, if there is one.
-ClaimVerdict judgeClaim(const std::optional<ClaimRecord> &existing, const std::string &bodyHash);
+ClaimDecision evaluateClaim(const std::optional<ClaimRecord> &existing,
+                            const std::string &bodyHash);
 
 /// Returns the record as stored in the table.
 std::string encodeClaim(const ClaimRecord &record);
--- a/include/oleanderhall/routing/claimledger.h
+++ b/include/oleanderhall/routing/claimstore.h
@@ -30,17 +30,17 @@
 };
 
 /// What became of a ClaimRequest.
-using ClaimOutcome = std::variant<ClaimHandle, ReplayAnswer, Refusal>;
+using ClaimOutcome = std::variant<ClaimHandle, ReplayedResponse, Refusal>;
 
-/// A ClaimLedger keeps claims in the platform's table, so that a request with a key runs at most
+/// A ClaimStore keeps claims in the platform's table, so that a request with a key runs at most
 /// once whichever entry hosts it reaches. A handle is given out only for a row that is known to
 /// hold its token; when that can't be known, the request is refused as not run. Calls block on the
 /// table. It has no state of its own and may be used by any thread.
 template <Table TableType>
-class ClaimLedger
+class ClaimStore
 {
 public:
-    explicit ClaimLedger(TableType &table)
+    explicit ClaimStore(TableType &table)
         : m_table(table)
     {}
 
@@ -52,9 +52,9 @@
         for (std::size_t index = 0; index < requests.size(); ++index)
             open.push_back(index);
         while (!open.empty()) {
-            const std::vector<std::size_t> taken = tryInsert(requests, open, outcomes);
+            const std::vector<std::size_t> taken = insertOpen(requests, open, outcomes);
             for (const std::size_t index : taken)
-                outcomes[index] = settleTaken(requests[index]);
+                outcomes[index] = resolveExisting(requests[index]);
             std::erase_if(open, [&taken](std::size_t index) {
                 return std::find(taken.begin(), taken.end(), index) != taken.end();
             });
@@ -65,10 +65,10 @@
     }
 
     /// Records how the request of `handle` ended. Returns false when it should be tried again.
-    bool settle(const ClaimHandle &handle, const ClaimRecord &record)
+    bool recordOutcome(const ClaimHandle &handle, const ClaimRecord &record)
     {
         try {
-            m_table.transact({putOf(handle.key, record, handle.version)},
+            m_table.transact({makePut(handle.key, record, handle.version)},
                              record.token + "-" + std::to_string(handle.version + 1));
             return true;
         } catch (const ConditionFailed &) {
@@ -92,7 +92,7 @@
             if (record.token != request.token || record.state != ClaimState::Claimed)
                 return true;
             record.state = ClaimState::Released;
-            return settle({request.key, item->version, record}, record);
+            return recordOutcome({request.key, item->version, record}, record);
         } catch (const PlatformUnavailable &) {
             return false;
         }
@@ -101,7 +101,7 @@
 private:
     static Refusal unavailable()
     {
-        return {RefusalReason::ClaimsUnavailable, Ran::No, Millis(1000)};
+        return {RefusalReason::ClaimsUnavailable, ExecutionStatus::NotExecuted, Millis(1000)};
     }
 
     static ClaimRecord recordFor(const ClaimRequest &request)
@@ -109,23 +109,26 @@
         return {.token = request.token, .bodyHash = request.bodyHash};
     }
 
-    static TableWrite putOf(const TableKey &key, const ClaimRecord &record, std::uint64_t expected)
+    static TableWrite makePut(const TableKey &key, const ClaimRecord &record,
+                              std::uint64_t expected)
     {
-        return {
-            .key = key, .expected = expected, .version = expected + 1, .data = encodeClaim(record)};
+        return {.key = key,
+                .expectedVersion = expected,
+                .version = expected + 1,
+                .data = encodeClaim(record)};
     }
 
     /// Inserts a row for each open request. Returns those whose row exists already; the others got
     /// their outcome, unless some row existed: then none was inserted.
-    std::vector<std::size_t> tryInsert(const std::vector<ClaimRequest> &requests,
-                                       const std::vector<std::size_t> &open,
-                                       std::vector<ClaimOutcome> &outcomes)
+    std::vector<std::size_t> insertOpen(const std::vector<ClaimRequest> &requests,
+                                        const std::vector<std::size_t> &open,
+                                        std::vector<ClaimOutcome> &outcomes)
     {
         std::vector<TableWrite> writes;
         writes.reserve(open.size());
         for (const std::size_t index : open) {
             writes.push_back(
-                putOf(requests[index].key, recordFor(requests[index]), TableWrite::kAbsent));
+                makePut(requests[index].key, recordFor(requests[index]), TableWrite::kAbsent));
         }
         try {
             // The table wants another token for each set of writes.
@@ -149,7 +152,7 @@
     }
 
     /// Decides on a request whose row exists already.
-    ClaimOutcome settleTaken(const ClaimRequest &request)
+    ClaimOutcome resolveExisting(const ClaimRequest &request)
     {
         try {
             const auto item = m_table.read(request.key);
@@ -158,10 +161,10 @@
                 existing = parseClaim(item->data);
             if (existing && isHeldBy(*existing, request))
                 return ClaimHandle{request.key, item->version, *existing};
-            const ClaimVerdict verdict = judgeClaim(existing, request.bodyHash);
+            const ClaimDecision verdict = evaluateClaim(existing, request.bodyHash);
             if (const auto *refusal = std::get_if<Refusal>(&verdict))
                 return *refusal;
-            if (const auto *replay = std::get_if<ReplayAnswer>(&verdict))
+            if (const auto *replay = std::get_if<ReplayedResponse>(&verdict))
                 return *replay;
             return replace(request, item ? item->version : TableWrite::kAbsent);
         } catch (const PlatformUnavailable &) {
@@ -172,11 +175,12 @@
     ClaimOutcome replace(const ClaimRequest &request, std::uint64_t version)
     {
         try {
-            m_table.transact({putOf(request.key, recordFor(request), version)},
+            m_table.transact({makePut(request.key, recordFor(request), version)},
                              request.token + "-again");
             return ClaimHandle{request.key, version + 1, recordFor(request)};
         } catch (const ConditionFailed &) {
-            return Refusal{RefusalReason::DuplicateInProgress, Ran::Unknown, Millis(1000)};
+            return Refusal{RefusalReason::DuplicateInProgress, ExecutionStatus::Unknown,
+                           Millis(1000)};
         } catch (const OutcomeUnknown &) {
             return readBack(request);
         }
--- a/include/oleanderhall/routing/refusal.h
+++ b/include/oleanderhall/routing/refusal.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "oleanderhall/core/time.h"
-#include "oleanderhall/routing/ran.h"
+#include "oleanderhall/routing/executionstatus.h"
 #include "oleanderhall/routing/refusalreason.h"
 
 #include <optional>
@@ -12,7 +12,7 @@
 struct Refusal
 {
     RefusalReason reason = RefusalReason::BadRequest;
-    Ran ran = Ran::No;
+    ExecutionStatus execution = ExecutionStatus::NotExecuted;
     std::optional<Millis> retryAfter; ///< Set only where coming back can help.
 
     friend bool operator==(const Refusal &, const Refusal &) = default;
--- a/include/oleanderhall/routing/retrybudget.h
+++ b/include/oleanderhall/routing/retrybudget.h
@@ -16,16 +16,16 @@
         : m_percent(percent)
     {}
 
-    void countFirstTry(Instant now);
+    void countFirstAttempt(Instant now);
     /// Returns whether a retry may be sent now, and counts it if so.
-    bool tryRetry(Instant now);
+    bool tryAcquire(Instant now);
 
 private:
     void startMinute(Instant now);
 
     int m_percent;
     Instant m_minuteStart;
-    std::uint64_t m_firstTries = 0;
+    std::uint64_t m_firstAttempts = 0;
     std::uint64_t m_retries = 0;
 };
 
--- a/include/oleanderhall/routing/servicerouter.h
+++ b/include/oleanderhall/routing/servicerouter.h
@@ -3,9 +3,9 @@
 #include "oleanderhall/core/time.h"
 #include "oleanderhall/register/servicerule.h"
 #include "oleanderhall/routing/attemptresult.h"
+#include "oleanderhall/routing/concurrencywindow.h"
 #include "oleanderhall/routing/endpoint.h"
 #include "oleanderhall/routing/refusal.h"
-#include "oleanderhall/routing/slotwindow.h"
 
 #include <cstdint>
 #include <map>
@@ -23,7 +23,7 @@
 struct RouterSettings
 {
     ZoneId zone;
-    int entryHosts = 1;
+    int entryHostCount = 1;
     std::size_t maxWaiting = 64; ///< Requests that may wait for a slot.
     std::uint32_t seed = 1;
 };
@@ -48,7 +48,7 @@
 {
     Instant deadline;
     bool viewIsFresh = true; ///< When false, only upstreams of the own zone may be used.
-    std::vector<HostId> avoid; ///< Hosts already tried for this request.
+    std::vector<HostId> excludedHosts; ///< Hosts already tried for this request.
 };
 
 /// A ServiceRouter chooses the upstream for each request of one service, shares the upstreams'
@@ -67,31 +67,31 @@
     /// a host that was cut off may have missed that they became ready.
     std::vector<SlotGrant> setEndpoints(const std::vector<Endpoint> &endpoints, Instant now,
                                         const std::vector<Endpoint> &starting = {});
-    void setEntryHosts(int entryHosts);
+    void setEntryHostCount(int entryHosts);
     void setRule(const ServiceRule &rule);
 
     Admission admit(const SlotRequest &request, Instant now);
     /// Gives back a slot and reports how the attempt ended. Returns grants for waiting requests.
-    std::vector<SlotGrant> finish(const Endpoint &endpoint, AttemptResult result, Millis took,
-                                  Instant now);
+    std::vector<SlotGrant> releaseSlot(const Endpoint &endpoint, AttemptResult result, Millis took,
+                                       Instant now);
     /// Ends the wait of a request that was not granted a slot yet.
     void cancel(WaiterId waiter);
 
     /// Says whether `endpoint` still is an upstream in this very life.
-    bool holds(const Endpoint &endpoint) const;
+    bool hasEndpoint(const Endpoint &endpoint) const;
     /// Returns how long an answer takes on average, as far as is known.
     Millis expectedLatency() const;
     const ServiceRule &rule() const { return m_rule; }
-    std::size_t waiting() const { return m_waiting.size(); }
+    std::size_t waitingCount() const { return m_waiting.size(); }
     int inFlight() const;
     /// Returns how many upstreams are ready by this view.
-    std::size_t endpointCount() const;
+    std::size_t readyEndpointCount() const;
 
 private:
     struct Upstream
     {
         Endpoint endpoint;
-        SlotWindow window;
+        ConcurrencyWindow window;
         bool isStarting = false; ///< Not ready by this view.
         int inFlight = 0;
         double latencyMs = 0;
@@ -104,12 +104,12 @@
         SlotRequest request;
     };
 
-    Upstream *choose(const SlotRequest &request, Instant now);
-    Upstream *better(Upstream *left, Upstream *right);
-    bool isUsable(const Upstream &upstream, const SlotRequest &request, bool isLocal, Instant now,
-                  bool allowEjected) const;
-    bool hasReachableUpstream(const SlotRequest &request) const;
-    bool mayTry(const Upstream &upstream, const SlotRequest &request) const;
+    Upstream *chooseUpstream(const SlotRequest &request, Instant now);
+    Upstream *lessLoaded(Upstream *left, Upstream *right);
+    bool hasFreeSlot(const Upstream &upstream, const SlotRequest &request, bool isLocal,
+                     Instant now, bool allowEjected) const;
+    bool hasEligibleUpstream(const SlotRequest &request) const;
+    bool isEligible(const Upstream &upstream, const SlotRequest &request) const;
     Millis expectedWait(const SlotRequest &request) const;
     double expectedLatencyMs() const;
     int totalWindow() const;
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -272,7 +272,7 @@
     try {
         PeerClient client(address, m_settings.platformTimeout);
         const Instant asked = timeNow();
-        PeerEntries answer = client.pull(m_state.sequence());
+        PullResult answer = client.pull(m_state.sequence());
         if (!m_hasView || answer.needsSnapshot) {
             PeerSnapshot snapshot = client.snapshot();
             if (snapshot.state.sequence() > m_state.sequence() || !m_hasView)
--- a/src/daemon/controllerdecisions.cpp
+++ b/src/daemon/controllerdecisions.cpp
@@ -51,7 +51,7 @@
 {
     PoolPlan plan = planner.decide(m_state, seen, now);
     for (const WorkerCommand &command : plan.commands)
-        m_watcher.send(command, WorkerClient::bodyOf(command, m_state.config()));
+        m_watcher.send(command, WorkerClient::commandBody(command, m_state.config()));
     {
         const std::unique_lock lock(m_stateMutex);
         m_waiting.insert(plan.waiting.begin(), plan.waiting.end());
--- a/src/daemon/entryhost.cpp
+++ b/src/daemon/entryhost.cpp
@@ -73,7 +73,7 @@
 RouterSettings routerSettingsFrom(const Settings &settings)
 {
     return {.zone = settings.zone,
-            .entryHosts = 1,
+            .entryHostCount = 1,
             .maxWaiting = static_cast<std::size_t>(settings.maxWaiting),
             .seed = std::random_device{}()};
 }
--- a/src/http/callerserver.cpp
+++ b/src/http/callerserver.cpp
@@ -66,7 +66,7 @@
     Refusal refusalFor(const beast::error_code &failed) const
     {
         const RefusalReason reason = isTimedOut ? RefusalReason::RequestTooSlow : reasonFor(failed);
-        return {reason, Ran::No, std::nullopt};
+        return {reason, ExecutionStatus::NotExecuted, std::nullopt};
     }
 
     std::weak_ptr<Session> weakSelf;
@@ -222,15 +222,15 @@
     // Two lengths leave open where the request ends, so that it might be read as two.
     if (header.count(http::field::content_length) > 0
         && header.count(http::field::transfer_encoding) > 0)
-        co_return Refusal{RefusalReason::BadRequest, Ran::No, std::nullopt};
+        co_return Refusal{RefusalReason::BadRequest, ExecutionStatus::NotExecuted, std::nullopt};
     if (parser.is_done())
         co_return std::nullopt;
     const std::size_t size = parser.content_length() ? *parser.content_length()
                                                      : m_limits.bodyBytes;
     if (size > m_limits.bodyBytes)
-        co_return Refusal{RefusalReason::BodyTooLarge, Ran::No, std::nullopt};
+        co_return Refusal{RefusalReason::BodyTooLarge, ExecutionStatus::NotExecuted, std::nullopt};
     if (m_buffered + size > m_limits.bufferedBytes)
-        co_return Refusal{RefusalReason::Overloaded, Ran::No, kComeBack};
+        co_return Refusal{RefusalReason::Overloaded, ExecutionStatus::NotExecuted, kComeBack};
     m_buffered += size;
     session->reserved = size;
     beast::error_code failed;
--- a/src/http/callparser.cpp
+++ b/src/http/callparser.cpp
@@ -21,7 +21,7 @@
 
 Refusal refuse(RefusalReason reason)
 {
-    return {reason, Ran::No, std::nullopt};
+    return {reason, ExecutionStatus::NotExecuted, std::nullopt};
 }
 
 bool equalsIgnoringCase(std::string_view left, std::string_view right)
--- a/src/http/claimservice.cpp
+++ b/src/http/claimservice.cpp
@@ -36,7 +36,7 @@
 
 Refusal claimsUnavailable()
 {
-    return {RefusalReason::ClaimsUnavailable, Ran::No, Millis(1000)};
+    return {RefusalReason::ClaimsUnavailable, ExecutionStatus::NotExecuted, Millis(1000)};
 }
 
 } // namespace
@@ -73,7 +73,7 @@
     auto result = std::make_shared<OneShot<ClaimOutcome>>(executor);
     {
         const std::lock_guard lock(m_mutex);
-        if (!m_outage.mayTry(now))
+        if (!m_outage.allowRequest(now))
             co_return unavailable;
         ClaimRequest request{{"claim-" + service, std::move(key)}, hashOf(body), newToken()};
         m_pending.push_back({std::move(request), result});
@@ -88,9 +88,9 @@
 
 void ClaimService::settle(const ClaimHandle &handle, ClaimRecord record)
 {
-    if (record.keepsBody && record.body.size() > kMaxKeptBody) {
+    if (record.hasStoredBody && record.body.size() > kMaxKeptBody) {
         record.body.clear();
-        record.keepsBody = false;
+        record.hasStoredBody = false;
     }
     addEnding({handle, std::move(record), false, kEndingTries, Instant{}});
 }
@@ -159,9 +159,9 @@
     });
     const std::lock_guard lock(m_mutex);
     if (isAway)
-        m_outage.failed(std::chrono::steady_clock::now());
+        m_outage.recordFailure(std::chrono::steady_clock::now());
     else
-        m_outage.succeeded();
+        m_outage.recordSuccess();
 }
 
 void ClaimService::endingLoop()
@@ -195,7 +195,7 @@
 {
     try {
         if (!ending.isRelease)
-            return m_ledger.settle(ending.handle, ending.record);
+            return m_ledger.recordOutcome(ending.handle, ending.record);
         return m_ledger.releaseIfHeld(
             {ending.handle.key, ending.record.bodyHash, ending.record.token});
     } catch (const std::exception &) {
--- a/src/http/claimservice.h
+++ b/src/http/claimservice.h
@@ -5,8 +5,8 @@
 #include "oneshot.h"
 
 #include "oleanderhall/platform/dynamotable.h"
-#include "oleanderhall/routing/claimledger.h"
-#include "oleanderhall/routing/outagegate.h"
+#include "oleanderhall/routing/circuitbreaker.h"
+#include "oleanderhall/routing/claimstore.h"
 
 #include <condition_variable>
 #include <deque>
@@ -59,12 +59,12 @@
     void noteOutcome(const std::vector<ClaimOutcome> &outcomes);
     std::string newToken();
 
-    ClaimLedger<DynamoTable> m_ledger;
+    ClaimStore<DynamoTable> m_ledger;
     std::string m_tokenPrefix;
     std::mutex m_mutex;
     std::condition_variable m_claimsChanged;
     std::condition_variable m_endingsChanged;
-    OutageGate m_outage;
+    CircuitBreaker m_outage;
     bool m_isStopping = false;
     std::uint64_t m_lastToken = 0;
     std::deque<Pending> m_pending;
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -89,12 +89,14 @@
     m_parts.metrics.countFirstTry();
     {
         const std::lock_guard lock(m_budgetMutex);
-        m_budget.countFirstTry(timeNow());
+        m_budget.countFirstAttempt(timeNow());
     }
     std::optional<Reply> reply;
     while (!reply) {
         if (timeNow() >= call.deadline)
-            reply = refuse(call, progress, {RefusalReason::UpstreamTimeout, Ran::No, kComeBack});
+            reply = refuse(
+                call, progress,
+                {RefusalReason::UpstreamTimeout, ExecutionStatus::NotExecuted, kComeBack});
         else
             reply = co_await attempt(call, progress);
     }
@@ -111,26 +113,26 @@
     SlotRequest request;
     request.deadline = call.deadline;
     request.viewIsFresh = m_parts.view.isFresh(timeNow());
-    request.avoid = progress.tried;
+    request.excludedHosts = progress.tried;
     const SlotResult slot = co_await m_parts.routes.acquire(service, std::move(request));
     if (const auto *refusal = std::get_if<Refusal>(&slot)) {
         const bool hasTriedAll = refusal->reason == RefusalReason::NoUpstream && progress.tries > 0;
         co_return refuse(call, progress,
-                         hasTriedAll
-                             ? Refusal{RefusalReason::UpstreamUnreachable, Ran::No, kComeBack}
-                             : *refusal);
+                         hasTriedAll ? Refusal{RefusalReason::UpstreamUnreachable,
+                                               ExecutionStatus::NotExecuted, kComeBack}
+                                     : *refusal);
     }
     const Endpoint endpoint = std::get<Endpoint>(slot);
     if (call.isUnrepeatable && !progress.claim) {
         std::optional<Reply> refused = co_await claimFor(call, progress);
         if (refused) {
-            m_parts.routes.release(service, endpoint, AttemptResult::NotTried, Millis(0));
+            m_parts.routes.release(service, endpoint, AttemptResult::NotAttempted, Millis(0));
             co_return refused;
         }
     }
     // The view may have changed, or this process may have been paused, since the slot was granted.
     if (!m_parts.routes.isCurrent(service, endpoint)) {
-        m_parts.routes.release(service, endpoint, AttemptResult::NotTried, Millis(0));
+        m_parts.routes.release(service, endpoint, AttemptResult::NotAttempted, Millis(0));
         co_return std::nullopt;
     }
     ++progress.tries;
@@ -139,14 +141,14 @@
         endpoint, call, latestAnswer(call, progress.tries, m_parts.routes.expectedLatency(service)),
         !call.isUnrepeatable);
     using Kind = UpstreamOutcome::Kind;
-    AttemptResult result = AttemptResult::Broken;
+    AttemptResult result = AttemptResult::IncompleteResponse;
     if (outcome.kind == Kind::Answered) {
         result = isNotRunStatus(call.rule, outcome.reply.status) ? AttemptResult::Refused
-                                                                 : AttemptResult::Answered;
+                                                                 : AttemptResult::Responded;
     } else if (outcome.kind == Kind::NotSent) {
         result = AttemptResult::Unreachable;
     } else if (outcome.kind == Kind::Stale) {
-        result = AttemptResult::NotTried;
+        result = AttemptResult::NotAttempted;
     }
     m_parts.routes.release(service, endpoint, result, since(started));
     co_return judge(call, progress, endpoint, std::move(outcome));
@@ -161,7 +163,7 @@
         progress.claim = *handle;
         co_return std::nullopt;
     }
-    if (const auto *replay = std::get_if<ReplayAnswer>(&outcome)) {
+    if (const auto *replay = std::get_if<ReplayedResponse>(&outcome)) {
         Reply reply{.status = replay->status, .headers = {}, .body = replay->body};
         if (!replay->contentType.empty())
             reply.headers.emplace_back("Content-Type", replay->contentType);
@@ -183,29 +185,34 @@
         m_parts.metrics.countRetry(RetryReason::ConnectFailed);
         if (progress.tries < kMaxTries)
             return std::nullopt;
-        return refuse(call, progress, {RefusalReason::UpstreamUnreachable, Ran::No, kComeBack});
+        return refuse(
+            call, progress,
+            {RefusalReason::UpstreamUnreachable, ExecutionStatus::NotExecuted, kComeBack});
     }
     if (outcome.kind == Kind::Answered) {
         if (!isNotRunStatus(call.rule, outcome.reply.status))
             return answer(call, progress, std::move(outcome.reply));
-        return retryOrRefuse(call, progress, RetryReason::UpstreamRefused,
-                             {RefusalReason::UpstreamRefused, Ran::No, kComeBack});
+        return retryOrRefuse(
+            call, progress, RetryReason::UpstreamRefused,
+            {RefusalReason::UpstreamRefused, ExecutionStatus::NotExecuted, kComeBack});
     }
     progress.wasSent = true;
     if (outcome.kind == Kind::TimedOut)
-        return retryOrRefuse(call, progress, RetryReason::TimedOut,
-                             {RefusalReason::UpstreamTimeout, Ran::Unknown, std::nullopt});
+        return retryOrRefuse(
+            call, progress, RetryReason::TimedOut,
+            {RefusalReason::UpstreamTimeout, ExecutionStatus::Unknown, std::nullopt});
     const RetryReason reason = outcome.kind == Kind::Stale ? RetryReason::StaleConnection
                                                            : RetryReason::BrokenAnswer;
     return retryOrRefuse(call, progress, reason,
-                         {RefusalReason::UpstreamBroken, Ran::Unknown, std::nullopt});
+                         {RefusalReason::UpstreamBroken, ExecutionStatus::Unknown, std::nullopt});
 }
 
 std::optional<Reply> Dispatcher::retryOrRefuse(const Call &call, Progress &progress,
                                                RetryReason retry, const Refusal &refusal)
 {
     // An unrepeatable request may be sent again only when the upstream said that it did not run.
-    const bool mayRepeat = !call.isUnrepeatable || refusal.ran == Ran::No;
+    const bool mayRepeat = !call.isUnrepeatable
+        || refusal.execution == ExecutionStatus::NotExecuted;
     if (!mayRepeat || progress.tries >= kMaxTries || timeNow() >= call.deadline)
         return refuse(call, progress, refusal);
     if (!tryRetry()) {
@@ -224,7 +231,7 @@
         record.status = reply.status;
         record.contentType = headerOf(reply.headers, "Content-Type");
         record.body = reply.body;
-        record.keepsBody = true;
+        record.hasStoredBody = true;
         m_parts.claims.settle(*progress.claim, std::move(record));
     }
     m_parts.metrics.countAnswer(reply.status, since(call.received));
@@ -233,11 +240,12 @@
 
 Reply Dispatcher::refuse(const Call &call, Progress &progress, Refusal refusal)
 {
-    if (progress.wasSent && refusal.ran == Ran::No)
-        refusal.ran = Ran::Unknown;
+    if (progress.wasSent && refusal.execution == ExecutionStatus::NotExecuted)
+        refusal.execution = ExecutionStatus::Unknown;
     if (progress.claim) {
         ClaimRecord record = progress.claim->record;
-        record.state = refusal.ran == Ran::No ? ClaimState::Released : ClaimState::Unknown;
+        record.state = refusal.execution == ExecutionStatus::NotExecuted ? ClaimState::Released
+                                                                         : ClaimState::Unknown;
         m_parts.claims.settle(*progress.claim, std::move(record));
     }
     progress.steps.push_back("refused " + std::string(nameOf(refusal.reason)));
@@ -249,7 +257,7 @@
 bool Dispatcher::tryRetry()
 {
     const std::lock_guard lock(m_budgetMutex);
-    return m_budget.tryRetry(timeNow());
+    return m_budget.tryAcquire(timeNow());
 }
 
 } // namespace oleanderhall
--- a/src/http/problem.cpp
+++ b/src/http/problem.cpp
@@ -26,7 +26,7 @@
         reply.headers.emplace_back("Retry-After", retryAfterSeconds(*refusal.retryAfter));
     reply.body = "{\"type\":\"urn:oleanderhall:refusal:" + reason + "\",\"title\":\"" + reason
         + "\",\"status\":" + std::to_string(reply.status) + ",\"reason\":\"" + reason
-        + "\",\"ran\":\"" + std::string(nameOf(refusal.ran)) + "\"}\n";
+        + "\",\"ran\":\"" + std::string(nameOf(refusal.execution)) + "\"}\n";
     return reply;
 }
 
--- a/src/http/routetable.cpp
+++ b/src/http/routetable.cpp
@@ -47,10 +47,10 @@
 void RouteTable::setEntryHosts(int entryHosts)
 {
     const std::unique_lock lock(m_mutex);
-    m_settings.entryHosts = entryHosts;
+    m_settings.entryHostCount = entryHosts;
     for (const auto &[name, service] : m_services) {
         const std::lock_guard serviceLock(service->mutex);
-        service->router.setEntryHosts(entryHosts);
+        service->router.setEntryHostCount(entryHosts);
     }
 }
 
@@ -67,7 +67,8 @@
 {
     const ServicePtr found = find(service);
     if (!found)
-        co_return Refusal{RefusalReason::UnknownService, Ran::No, std::nullopt};
+        co_return Refusal{RefusalReason::UnknownService, ExecutionStatus::NotExecuted,
+                          std::nullopt};
     const auto executor = co_await boost::asio::this_coro::executor;
     std::shared_ptr<OneShot<Endpoint>> waiter;
     WaiterId id;
@@ -90,7 +91,7 @@
     const std::lock_guard lock(found->mutex);
     found->router.cancel(id);
     found->waiters.erase(id);
-    co_return Refusal{RefusalReason::QueueTimeout, Ran::No, Millis(1000)};
+    co_return Refusal{RefusalReason::QueueTimeout, ExecutionStatus::NotExecuted, Millis(1000)};
 }
 
 Millis RouteTable::expectedLatency(const std::string &service) const
@@ -110,7 +111,7 @@
         return;
     const std::lock_guard lock(found->mutex);
     const Instant now = std::chrono::steady_clock::now();
-    deliver(*found, found->router.finish(endpoint, result, took, now));
+    deliver(*found, found->router.releaseSlot(endpoint, result, took, now));
 }
 
 bool RouteTable::isCurrent(const std::string &service, const Endpoint &endpoint) const
@@ -119,7 +120,7 @@
     if (!found)
         return false;
     const std::lock_guard lock(found->mutex);
-    return found->router.holds(endpoint);
+    return found->router.hasEndpoint(endpoint);
 }
 
 std::pair<int, int> RouteTable::load() const
@@ -129,7 +130,7 @@
     for (const auto &[name, service] : m_services) {
         const std::lock_guard serviceLock(service->mutex);
         total.first += service->router.inFlight();
-        total.second += static_cast<int>(service->router.waiting());
+        total.second += static_cast<int>(service->router.waitingCount());
     }
     return total;
 }
@@ -143,7 +144,7 @@
         const int connections = service->router.rule().connections;
         fewest = std::min(fewest.value_or(connections), connections);
     }
-    return std::max(fewest.value_or(1) / std::max(m_settings.entryHosts, 1), 1);
+    return std::max(fewest.value_or(1) / std::max(m_settings.entryHostCount, 1), 1);
 }
 
 int RouteTable::upstreamCount() const
@@ -152,7 +153,7 @@
     std::size_t total = 0;
     for (const auto &[name, service] : m_services) {
         const std::lock_guard serviceLock(service->mutex);
-        total += service->router.endpointCount();
+        total += service->router.readyEndpointCount();
     }
     return static_cast<int>(total);
 }
@@ -195,8 +196,8 @@
             continue;
         // The waiter gave up in the meantime, so its slot goes to the next one.
         const Instant now = std::chrono::steady_clock::now();
-        const auto more = service.router.finish(grant.endpoint, AttemptResult::NotTried, Millis(0),
-                                                now);
+        const auto more = service.router.releaseSlot(grant.endpoint, AttemptResult::NotAttempted,
+                                                     Millis(0), now);
         pending.insert(pending.end(), more.begin(), more.end());
     }
 }
--- a/src/http/servicehandler.cpp
+++ b/src/http/servicehandler.cpp
@@ -46,7 +46,8 @@
             co_return healthReply(m_isReady());
         if (!m_isReady() && !m_isDraining) {
             m_metrics.countRefusal(RefusalReason::NoView);
-            co_return problemReply({RefusalReason::NoView, Ran::No, kComeBack});
+            co_return problemReply(
+                {RefusalReason::NoView, ExecutionStatus::NotExecuted, kComeBack});
         }
         const auto lookup = [this](std::string_view service) { return m_routes.ruleOf(service); };
         auto parsed = parseCall(request, lookup, std::chrono::steady_clock::now());
--- a/src/peer/peerclient.cpp
+++ b/src/peer/peerclient.cpp
@@ -40,7 +40,7 @@
     , m_timeout(timeout)
 {}
 
-PeerEntries PeerClient::pull(Sequence after)
+PullResult PeerClient::pull(Sequence after)
 {
     const auto stub = stubFor(m_address);
     grpc::ClientContext context;
@@ -50,7 +50,7 @@
     request.set_limit(kMaxEntries);
     peer::PullReply reply;
     throwUnlessOk(stub->Pull(&context, request, &reply));
-    PeerEntries result;
+    PullResult result;
     result.sequence = {reply.sequence()};
     result.viewAge = Millis(reply.view_age_ms());
     result.needsSnapshot = reply.needs_snapshot();
--- a/src/peer/peerclient.h
+++ b/src/peer/peerclient.h
@@ -9,7 +9,7 @@
 namespace oleanderhall {
 
 /// Internal: what a peer answered to a pull.
-struct PeerEntries
+struct PullResult
 {
     Sequence sequence;
     Millis viewAge{0};
@@ -31,7 +31,7 @@
 public:
     PeerClient(std::string address, Millis timeout);
 
-    PeerEntries pull(Sequence after);
+    PullResult pull(Sequence after);
     PeerSnapshot snapshot();
 
 private:
--- a/src/peer/peerserver.cpp
+++ b/src/peer/peerserver.cpp
@@ -82,14 +82,14 @@
     PeerSource m_source;
 };
 
-struct PeerServer::Running
+struct PeerServer::GrpcServer
 {
     std::unique_ptr<grpc::Server> server;
 };
 
 PeerServer::PeerServer(const std::string &address, PeerSource source)
     : m_service(std::make_unique<Service>(std::move(source)))
-    , m_running(new Running)
+    , m_grpcServer(new GrpcServer)
 {
     grpc::ResourceQuota quota("peers");
     quota.SetMaxThreads(kMaxThreads);
@@ -102,14 +102,14 @@
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(m_service.get());
-    m_running->server = builder.BuildAndStart();
-    if (!m_running->server)
+    m_grpcServer->server = builder.BuildAndStart();
+    if (!m_grpcServer->server)
         throw std::runtime_error("can't listen for peers on " + address);
 }
 
 PeerServer::~PeerServer()
 {
-    m_running->server->Shutdown(std::chrono::system_clock::now() + Millis(500));
+    m_grpcServer->server->Shutdown(std::chrono::system_clock::now() + Millis(500));
 }
 
 } // namespace oleanderhall
--- a/src/peer/peerserver.h
+++ b/src/peer/peerserver.h
@@ -32,10 +32,10 @@
 
 private:
     class Service;
-    struct Running;
+    struct GrpcServer;
 
     std::unique_ptr<Service> m_service;
-    std::unique_ptr<Running> m_running;
+    std::unique_ptr<GrpcServer> m_grpcServer;
 };
 
 } // namespace oleanderhall
--- a/src/platform/dynamotable.cpp
+++ b/src/platform/dynamotable.cpp
@@ -52,11 +52,11 @@
     } else {
         action["Key"] = keyOf(write.key);
     }
-    if (write.expected && *write.expected == TableWrite::kAbsent) {
+    if (write.expectedVersion && *write.expectedVersion == TableWrite::kAbsent) {
         action["ConditionExpression"] = value::string("attribute_not_exists(pk)");
-    } else if (write.expected) {
+    } else if (write.expectedVersion) {
         action["ConditionExpression"] = value::string("ver = :ver");
-        action["ExpressionAttributeValues"][":ver"] = numberAttribute(*write.expected);
+        action["ExpressionAttributeValues"][":ver"] = numberAttribute(*write.expectedVersion);
     }
     return action;
 }
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -52,7 +52,7 @@
     , m_timeout(timeout)
 {}
 
-std::string WorkerClient::bodyOf(const WorkerCommand &command, const Register &config)
+std::string WorkerClient::commandBody(const WorkerCommand &command, const Register &config)
 {
     return commandToJson(command, config).serialize();
 }
--- a/src/rollout/logcodec.cpp
+++ b/src/rollout/logcodec.cpp
@@ -98,11 +98,11 @@
 {
     std::vector<TableWrite> writes;
     writes.push_back({.key = headKey(),
-                      .expected = head.sequence.value,
+                      .expectedVersion = head.sequence.value,
                       .version = next.sequence.value,
                       .data = encodeHead(next)});
     writes.push_back({.key = {kLogPartition, rowOf(entry.sequence)},
-                      .expected = TableWrite::kAbsent,
+                      .expectedVersion = TableWrite::kAbsent,
                       .version = next.sequence.value,
                       .data = data});
     for (const Change &change : entry.changes) {
--- a/src/routing/claimrecord.cpp
+++ b/src/routing/claimrecord.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::array<std::string_view, 4> kStateNames{"claimed", "released", "done", "unknown"};
-constexpr Millis kProgressRetryAfter{1000};
-constexpr int kHighestStatus = 599;
+constexpr Millis kInProgressRetryAfter{1000};
+constexpr int kMaxStatus = 599;
 
 ClaimState parseState(const JsonCursor &cursor)
 {
@@ -35,25 +35,27 @@
 
 } // namespace
 
-ClaimVerdict judgeClaim(const std::optional<ClaimRecord> &existing, const std::string &bodyHash)
+ClaimDecision evaluateClaim(const std::optional<ClaimRecord> &existing, const std::string &bodyHash)
 {
     if (!existing)
-        return MayClaim{};
+        return ClaimAllowed{};
     if (existing->bodyHash != bodyHash)
-        return Refusal{RefusalReason::KeyReused, Ran::No, std::nullopt};
+        return Refusal{RefusalReason::KeyReused, ExecutionStatus::NotExecuted, std::nullopt};
     switch (existing->state) {
     case ClaimState::Released:
-        return MayClaim{};
+        return ClaimAllowed{};
     case ClaimState::Claimed:
-        return Refusal{RefusalReason::DuplicateInProgress, Ran::Unknown, kProgressRetryAfter};
+        return Refusal{RefusalReason::DuplicateInProgress, ExecutionStatus::Unknown,
+                       kInProgressRetryAfter};
     case ClaimState::Unknown:
-        return Refusal{RefusalReason::EarlierOutcomeUnknown, Ran::Unknown, std::nullopt};
+        return Refusal{RefusalReason::EarlierOutcomeUnknown, ExecutionStatus::Unknown,
+                       std::nullopt};
     case ClaimState::Done:
         break;
     }
-    if (!existing->keepsBody)
-        return Refusal{RefusalReason::AlreadyRan, Ran::Yes, std::nullopt};
-    return ReplayAnswer{existing->status, existing->contentType, existing->body};
+    if (!existing->hasStoredBody)
+        return Refusal{RefusalReason::AlreadyRan, ExecutionStatus::Executed, std::nullopt};
+    return ReplayedResponse{existing->status, existing->contentType, existing->body};
 }
 
 std::string encodeClaim(const ClaimRecord &record)
@@ -69,7 +71,7 @@
         if (!record.contentType.empty())
             result["contentType"] = value::string(record.contentType);
     }
-    if (record.keepsBody) {
+    if (record.hasStoredBody) {
         const std::vector<unsigned char> bytes(record.body.begin(), record.body.end());
         result["body"] = value::string(utility::conversions::to_base64(bytes));
     }
@@ -85,12 +87,12 @@
     ClaimRecord record{.state = parseState(cursor),
                        .token = cursor.text("token"),
                        .bodyHash = cursor.text("hash"),
-                       .status = static_cast<int>(cursor.numberOr("status", 0, kHighestStatus, 0)),
+                       .status = static_cast<int>(cursor.numberOr("status", 0, kMaxStatus, 0)),
                        .contentType = cursor.textOr("contentType", "")};
     if (json.is_object() && json.has_string_field("body")) {
         try {
             record.body = decodeBody(cursor);
-            record.keepsBody = true;
+            record.hasStoredBody = true;
         } catch (const std::exception &) {
             cursor.report("body", "is not base64", "base64 text");
         }
--- a/src/routing/slotwindow.cpp
+++ b/src/routing/concurrencywindow.cpp
@@ -1,4 +1,4 @@
-#include "oleanderhall/routing/slotwindow.h"
+#include "oleanderhall/routing/concurrencywindow.h"
 
 #include <algorithm>
 
@@ -18,28 +18,28 @@
 
 } // namespace
 
-SlotWindow::SlotWindow(int slots, int entryHosts)
+ConcurrencyWindow::ConcurrencyWindow(int slots, int entryHosts)
     : m_slots(slots)
-    , m_share(evenShare(slots, entryHosts))
-    , m_size(m_share)
+    , m_evenShare(evenShare(slots, entryHosts))
+    , m_size(m_evenShare)
 {}
 
-void SlotWindow::setEntryHosts(int entryHosts)
+void ConcurrencyWindow::setEntryHostCount(int entryHosts)
 {
-    m_share = evenShare(m_slots, entryHosts);
-    m_size = std::clamp<double>(m_size, m_share, m_slots);
+    m_evenShare = evenShare(m_slots, entryHosts);
+    m_size = std::clamp<double>(m_size, m_evenShare, m_slots);
 }
 
-void SlotWindow::answered(int inFlight, Instant now)
+void ConcurrencyWindow::onResponse(int inFlight, Instant now)
 {
     if (inFlight < size() || now < m_growAfter)
         return;
     m_size = std::min<double>(m_size + kGrowthPerAnswer / m_size, m_slots);
 }
 
-void SlotWindow::refused(Instant now)
+void ConcurrencyWindow::onRefusal(Instant now)
 {
-    m_size = std::max(m_share, m_size * kShrinkFactor);
+    m_size = std::max(m_evenShare, m_size * kShrinkFactor);
     m_growAfter = now + kPauseAfterRefusal;
 }
 
--- a/src/routing/refusalreason.cpp
+++ b/src/routing/refusalreason.cpp
@@ -1,6 +1,6 @@
 #include "oleanderhall/routing/refusalreason.h"
 
-#include "oleanderhall/routing/ran.h"
+#include "oleanderhall/routing/executionstatus.h"
 #include "oleanderhall/routing/retryreason.h"
 
 namespace oleanderhall {
@@ -64,7 +64,7 @@
     return kRows[static_cast<std::size_t>(reason)].status;
 }
 
-std::string_view nameOf(Ran ran)
+std::string_view nameOf(ExecutionStatus ran)
 {
     constexpr std::array<std::string_view, 3> kNames{"no", "yes", "unknown"};
     return kNames[static_cast<std::size_t>(ran)];
--- a/src/routing/retrybudget.cpp
+++ b/src/routing/retrybudget.cpp
@@ -8,16 +8,16 @@
 
 } // namespace
 
-void RetryBudget::countFirstTry(Instant now)
+void RetryBudget::countFirstAttempt(Instant now)
 {
     startMinute(now);
-    ++m_firstTries;
+    ++m_firstAttempts;
 }
 
-bool RetryBudget::tryRetry(Instant now)
+bool RetryBudget::tryAcquire(Instant now)
 {
     startMinute(now);
-    if ((m_retries + 1) * kPercent > m_firstTries * static_cast<std::uint64_t>(m_percent))
+    if ((m_retries + 1) * kPercent > m_firstAttempts * static_cast<std::uint64_t>(m_percent))
         return false;
     ++m_retries;
     return true;
@@ -28,7 +28,7 @@
     if (now - m_minuteStart < std::chrono::minutes(1))
         return;
     m_minuteStart = now;
-    m_firstTries = 0;
+    m_firstAttempts = 0;
     m_retries = 0;
 }
 
--- a/src/routing/servicerouter.cpp
+++ b/src/routing/servicerouter.cpp
@@ -12,8 +12,8 @@
 constexpr double kFailurePenaltyMs = 1000; // so that failing fast never looks attractive
 constexpr int kFailuresUntilEjection = 3;
 constexpr int kMaxEjectionDoublings = 5;
-constexpr Millis kFirstEjection{500};
-constexpr Millis kShortestRetryAfter{1000};
+constexpr Millis kInitialEjectionTime{500};
+constexpr Millis kMinRetryAfter{1000};
 
 bool contains(const std::vector<HostId> &hosts, HostId host)
 {
@@ -40,7 +40,7 @@
             return;
         }
         Upstream fresh{.endpoint = endpoint,
-                       .window = SlotWindow(m_rule.slots, m_settings.entryHosts),
+                       .window = ConcurrencyWindow(m_rule.slots, m_settings.entryHostCount),
                        .isStarting = isStarting};
         fresh.latencyMs = m_upstreams.empty() ? kInitialLatencyMs : expectedLatencyMs();
         next.emplace(endpoint.host, fresh);
@@ -53,11 +53,11 @@
     return grantWaiters(now);
 }
 
-void ServiceRouter::setEntryHosts(int entryHosts)
+void ServiceRouter::setEntryHostCount(int entryHosts)
 {
-    m_settings.entryHosts = entryHosts;
+    m_settings.entryHostCount = entryHosts;
     for (auto &[host, upstream] : m_upstreams)
-        upstream.window.setEntryHosts(entryHosts);
+        upstream.window.setEntryHostCount(entryHosts);
 }
 
 void ServiceRouter::setRule(const ServiceRule &rule)
@@ -67,46 +67,46 @@
     if (!slotsChanged)
         return;
     for (auto &[host, upstream] : m_upstreams)
-        upstream.window = SlotWindow(rule.slots, m_settings.entryHosts);
+        upstream.window = ConcurrencyWindow(rule.slots, m_settings.entryHostCount);
 }
 
 Admission ServiceRouter::admit(const SlotRequest &request, Instant now)
 {
-    if (!hasReachableUpstream(request))
-        return Refusal{RefusalReason::NoUpstream, Ran::No, kShortestRetryAfter};
+    if (!hasEligibleUpstream(request))
+        return Refusal{RefusalReason::NoUpstream, ExecutionStatus::NotExecuted, kMinRetryAfter};
     if (m_waiting.empty()) {
-        if (Upstream *upstream = choose(request, now)) {
+        if (Upstream *upstream = chooseUpstream(request, now)) {
             ++upstream->inFlight;
             return SlotGrant{upstream->endpoint, {}};
         }
     }
     const Millis wait = expectedWait(request);
-    const Millis retryAfter = std::max(wait, kShortestRetryAfter);
+    const Millis retryAfter = std::max(wait, kMinRetryAfter);
     if (m_waiting.size() >= m_settings.maxWaiting)
-        return Refusal{RefusalReason::Overloaded, Ran::No, retryAfter};
+        return Refusal{RefusalReason::Overloaded, ExecutionStatus::NotExecuted, retryAfter};
     if (now + wait + expectedLatency() > request.deadline)
-        return Refusal{RefusalReason::TimeoutTooShort, Ran::No, retryAfter};
+        return Refusal{RefusalReason::TimeoutTooShort, ExecutionStatus::NotExecuted, retryAfter};
     m_lastWaiter = m_lastWaiter.next();
     m_waiting.emplace(request.deadline, Waiter{m_lastWaiter, request});
     return Waiting{m_lastWaiter};
 }
 
-std::vector<SlotGrant> ServiceRouter::finish(const Endpoint &endpoint, AttemptResult result,
-                                             Millis took, Instant now)
+std::vector<SlotGrant> ServiceRouter::releaseSlot(const Endpoint &endpoint, AttemptResult result,
+                                                  Millis took, Instant now)
 {
     const auto found = m_upstreams.find(endpoint.host);
     if (found == m_upstreams.end() || !(found->second.endpoint == endpoint))
         return grantWaiters(now);
     Upstream &upstream = found->second;
-    if (result == AttemptResult::Answered) {
-        upstream.window.answered(upstream.inFlight, now);
+    if (result == AttemptResult::Responded) {
+        upstream.window.onResponse(upstream.inFlight, now);
         upstream.latencyMs += kLatencyWeight
             * (static_cast<double>(took.count()) - upstream.latencyMs);
         upstream.failuresInRow = 0;
         upstream.ejectedUntil = {};
     } else if (result == AttemptResult::Refused) {
-        upstream.window.refused(now);
-    } else if (result != AttemptResult::NotTried) {
+        upstream.window.onRefusal(now);
+    } else if (result != AttemptResult::NotAttempted) {
         recordFailure(upstream, now);
     }
     --upstream.inFlight;
@@ -118,7 +118,7 @@
     std::erase_if(m_waiting, [waiter](const auto &item) { return item.second.id == waiter; });
 }
 
-bool ServiceRouter::holds(const Endpoint &endpoint) const
+bool ServiceRouter::hasEndpoint(const Endpoint &endpoint) const
 {
     const auto found = m_upstreams.find(endpoint.host);
     return found != m_upstreams.end() && found->second.endpoint == endpoint;
@@ -129,7 +129,7 @@
     return Millis(static_cast<Millis::rep>(std::ceil(expectedLatencyMs())));
 }
 
-std::size_t ServiceRouter::endpointCount() const
+std::size_t ServiceRouter::readyEndpointCount() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_upstreams.begin(), m_upstreams.end(),
@@ -144,26 +144,26 @@
     return total;
 }
 
-ServiceRouter::Upstream *ServiceRouter::choose(const SlotRequest &request, Instant now)
+ServiceRouter::Upstream *ServiceRouter::chooseUpstream(const SlotRequest &request, Instant now)
 {
     for (const bool allowEjected : {false, true}) {
         for (const bool isLocal : {true, false}) {
             std::vector<Upstream *> usable;
             for (auto &[host, upstream] : m_upstreams) {
-                if (isUsable(upstream, request, isLocal, now, allowEjected))
+                if (hasFreeSlot(upstream, request, isLocal, now, allowEjected))
                     usable.push_back(&upstream);
             }
             if (usable.empty())
                 continue;
             std::uniform_int_distribution<std::size_t> pick(0, usable.size() - 1);
             Upstream *first = usable[pick(m_random)];
-            return better(first, usable[pick(m_random)]);
+            return lessLoaded(first, usable[pick(m_random)]);
         }
     }
     return nullptr;
 }
 
-ServiceRouter::Upstream *ServiceRouter::better(Upstream *left, Upstream *right)
+ServiceRouter::Upstream *ServiceRouter::lessLoaded(Upstream *left, Upstream *right)
 {
     const auto load = [](const Upstream *upstream) {
         return (upstream->inFlight + 1) * (upstream->latencyMs + 1) / upstream->window.size();
@@ -171,10 +171,10 @@
     return load(left) <= load(right) ? left : right;
 }
 
-bool ServiceRouter::isUsable(const Upstream &upstream, const SlotRequest &request, bool isLocal,
-                             Instant now, bool allowEjected) const
+bool ServiceRouter::hasFreeSlot(const Upstream &upstream, const SlotRequest &request, bool isLocal,
+                                Instant now, bool allowEjected) const
 {
-    if ((upstream.endpoint.zone == m_settings.zone) != isLocal || !mayTry(upstream, request))
+    if ((upstream.endpoint.zone == m_settings.zone) != isLocal || !isEligible(upstream, request))
         return false;
     if (upstream.ejectedUntil > now && !allowEjected)
         return false;
@@ -184,17 +184,17 @@
     return upstream.inFlight < share;
 }
 
-bool ServiceRouter::hasReachableUpstream(const SlotRequest &request) const
+bool ServiceRouter::hasEligibleUpstream(const SlotRequest &request) const
 {
     return std::any_of(m_upstreams.begin(), m_upstreams.end(),
-                       [&](const auto &item) { return mayTry(item.second, request); });
+                       [&](const auto &item) { return isEligible(item.second, request); });
 }
 
-bool ServiceRouter::mayTry(const Upstream &upstream, const SlotRequest &request) const
+bool ServiceRouter::isEligible(const Upstream &upstream, const SlotRequest &request) const
 {
     const auto isInReach = [&](const Upstream &other) {
         return (request.viewIsFresh || other.endpoint.zone == m_settings.zone)
-            && !contains(request.avoid, other.endpoint.host);
+            && !contains(request.excludedHosts, other.endpoint.host);
     };
     if (!isInReach(upstream))
         return false;
@@ -236,7 +236,7 @@
 {
     std::vector<SlotGrant> grants;
     for (auto waiter = m_waiting.begin(); waiter != m_waiting.end();) {
-        Upstream *upstream = choose(waiter->second.request, now);
+        Upstream *upstream = chooseUpstream(waiter->second.request, now);
         if (!upstream)
             break;
         ++upstream->inFlight;
@@ -254,7 +254,7 @@
         return;
     const int doublings = std::min(upstream.failuresInRow - kFailuresUntilEjection,
                                    kMaxEjectionDoublings);
-    upstream.ejectedUntil = now + kFirstEjection * (1 << doublings);
+    upstream.ejectedUntil = now + kInitialEjectionTime * (1 << doublings);
 }
 
 } // namespace oleanderhall
--- a/tests/rollout/changelog_test.cpp
+++ b/tests/rollout/changelog_test.cpp
@@ -57,7 +57,7 @@
                  "ChangeLog: the answer of an append is lost: it counts as committed")
 {
     LogHead head = log.readHead();
-    table.faults = {WriteFault::LostAnswer};
+    table.faults = {WriteFault::ResponseLost};
     CHECK(append(head, hostChange("h1")) == AppendOutcome::Committed);
     CHECK(head.sequence == Sequence{1});
 }
@@ -66,10 +66,10 @@
 {
     LogHead head = log.readHead();
     LogHead other = head;
-    table.faults = {WriteFault::LateEffect};
+    table.faults = {WriteFault::DelayedEffect};
     CHECK(append(head, hostChange("late")) == AppendOutcome::Unknown);
     CHECK(append(other, hostChange("other")) == AppendOutcome::Committed);
-    table.landLateWrites();
+    table.applyDelayedWrites();
     const FleetState state = log.load();
     CHECK(state.record(HostId("late")) == nullptr);
     CHECK(state.record(HostId("other")) != nullptr);
@@ -117,8 +117,9 @@
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
             const auto fault = *rc::gen::element(WriteFault::None, WriteFault::None,
-                                                 WriteFault::LostAnswer, WriteFault::LateEffect,
-                                                 WriteFault::Down, WriteFault::NoEffectUnknown);
+                                                 WriteFault::ResponseLost,
+                                                 WriteFault::DelayedEffect, WriteFault::Unavailable,
+                                                 WriteFault::UnknownWithoutEffect);
             table.faults = {fault};
             head = log.readHead();
             for (const LogEntry &entry : log.readAfter(replayed.sequence(), 1000))
@@ -144,7 +145,7 @@
                                  .changes = changes};
             log.append(entry, after, head);
             if (*rc::gen::inRange(0, 3) == 0)
-                table.landLateWrites();
+                table.applyDelayedWrites();
         }
         for (const LogEntry &entry : log.readAfter(replayed.sequence(), 1000))
             RC_ASSERT(replayed.apply(entry));
--- a/tests/routing/claimledger_test.cpp
+++ b/tests/routing/claimstore_test.cpp
@@ -1,4 +1,4 @@
-#include "oleanderhall/routing/claimledger.h"
+#include "oleanderhall/routing/claimstore.h"
 
 #include "../support/memorytable.h"
 
@@ -21,11 +21,11 @@
     MAKE_MOCK1(query, TablePage(const TableQuery &));
 };
 
-class ClaimLedgerTest
+class ClaimStoreTest
 {
 protected:
     MemoryTable table;
-    ClaimLedger<MemoryTable> ledger{table};
+    ClaimStore<MemoryTable> ledger{table};
     int tokens = 0;
 
     ClaimRequest request(const std::string &key, const std::string &hash = "hash")
@@ -43,42 +43,42 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a key claimed twice: the second is a duplicate")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a key claimed twice: the second is a duplicate")
 {
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
     const ClaimOutcome second = claimOne(request("k"));
     CHECK(reasonOf(second) == RefusalReason::DuplicateInProgress);
-    CHECK(std::get<Refusal>(second).ran == Ran::Unknown);
+    CHECK(std::get<Refusal>(second).execution == ExecutionStatus::Unknown);
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a key with another body: is refused")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a key with another body: is refused")
 {
     claimOne(request("k", "one"));
     CHECK(reasonOf(claimOne(request("k", "two"))) == RefusalReason::KeyReused);
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a finished request: its answer is replayed")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a finished request: its answer is replayed")
 {
     const auto handle = std::get<ClaimHandle>(claimOne(request("k")));
     ClaimRecord record = handle.record;
     record.state = ClaimState::Done;
     record.status = 201;
     record.body = "the answer";
-    record.keepsBody = true;
-    CHECK(ledger.settle(handle, record));
-    CHECK(std::get<ReplayAnswer>(claimOne(request("k"))).body == "the answer");
+    record.hasStoredBody = true;
+    CHECK(ledger.recordOutcome(handle, record));
+    CHECK(std::get<ReplayedResponse>(claimOne(request("k"))).body == "the answer");
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a released key: may be claimed again")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a released key: may be claimed again")
 {
     const auto handle = std::get<ClaimHandle>(claimOne(request("k")));
     ClaimRecord record = handle.record;
     record.state = ClaimState::Released;
-    CHECK(ledger.settle(handle, record));
+    CHECK(ledger.recordOutcome(handle, record));
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: one duplicate in a batch: the others are claimed")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: one duplicate in a batch: the others are claimed")
 {
     claimOne(request("b"));
     const auto outcomes = ledger.claim({request("a"), request("b"), request("c")});
@@ -87,49 +87,48 @@
     CHECK(std::holds_alternative<ClaimHandle>(outcomes[2]));
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest,
-                 "ClaimLedger: the answer is lost, the claim was taken: it is held")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: the answer is lost, the claim was taken: it is held")
 {
-    table.faults = {WriteFault::LostAnswer};
+    table.faults = {WriteFault::ResponseLost};
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a claim that lands late: is refused, then released")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a claim that lands late: is refused, then released")
 {
-    table.faults = {WriteFault::LateEffect};
+    table.faults = {WriteFault::DelayedEffect};
     const ClaimRequest late = request("k");
     CHECK(reasonOf(claimOne(late)) == RefusalReason::ClaimsUnavailable);
     CHECK_FALSE(ledger.releaseIfHeld(late));
-    table.landLateWrites();
+    table.applyDelayedWrites();
     CHECK(ledger.releaseIfHeld(late));
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
-TEST_CASE("ClaimLedger: the table is down: refused as not run, and nothing is read")
+TEST_CASE("ClaimStore: the table is down: refused as not run, and nothing is read")
 {
     MockTable table;
-    ClaimLedger<MockTable> ledger(table);
+    ClaimStore<MockTable> ledger(table);
     REQUIRE_CALL(table, transact(trompeloeil::_, trompeloeil::_))
         .THROW(PlatformUnavailable("down"));
     FORBID_CALL(table, read(trompeloeil::_));
     const auto outcome = ledger.claim({{{"claim-s", "k"}, "hash", "token"}}).front();
     CHECK(std::get<Refusal>(outcome)
-          == Refusal{RefusalReason::ClaimsUnavailable, Ran::No, Millis(1000)});
+          == Refusal{RefusalReason::ClaimsUnavailable, ExecutionStatus::NotExecuted, Millis(1000)});
 }
 
-TEST_CASE("ClaimLedger: callers retry through several entry hosts under faults: a key runs once")
+TEST_CASE("ClaimStore: callers retry through several entry hosts under faults: a key runs once")
 {
     rc::prop("at most one run for each key, and 'not run' is true", [] {
         MemoryTable table;
-        ClaimLedger<MemoryTable> ledger(table);
+        ClaimStore<MemoryTable> ledger(table);
         std::map<std::string, int> runs;
         std::vector<ClaimRequest> refused;
         const int steps = *rc::gen::inRange(1, 60);
         for (int step = 0; step < steps; ++step) {
             const auto faults = *rc::gen::container<std::deque<WriteFault>>(
                 2,
-                rc::gen::element(WriteFault::None, WriteFault::None, WriteFault::LostAnswer,
-                                 WriteFault::LateEffect, WriteFault::Down));
+                rc::gen::element(WriteFault::None, WriteFault::None, WriteFault::ResponseLost,
+                                 WriteFault::DelayedEffect, WriteFault::Unavailable));
             table.faults = faults;
             table.readsFail = *rc::gen::inRange(0, 6) == 0;
             std::vector<ClaimRequest> batch;
@@ -153,10 +152,10 @@
                 record.state = fate == 1 ? ClaimState::Released : ClaimState::Done;
                 runs[batch[index].key.row] += fate == 1 ? 0 : 1;
                 if (fate != 0)
-                    ledger.settle(*handle, record);
+                    ledger.recordOutcome(*handle, record);
             }
             if (*rc::gen::inRange(0, 3) == 0)
-                table.landLateWrites();
+                table.applyDelayedWrites();
             for (const ClaimRequest &request : refused)
                 ledger.releaseIfHeld(request);
             refused.clear();
--- a/tests/routing/retrybudget_test.cpp
+++ b/tests/routing/retrybudget_test.cpp
@@ -17,9 +17,9 @@
         for (int call = 0; call < calls; ++call) {
             const Instant now = start + Millis(call);
             if (*rc::gen::inRange(0, 3) > 0) {
-                budget.countFirstTry(now);
+                budget.countFirstAttempt(now);
                 ++firstTries;
-            } else if (budget.tryRetry(now)) {
+            } else if (budget.tryAcquire(now)) {
                 ++retries;
             }
             RC_ASSERT(retries * 10 <= firstTries);
@@ -32,7 +32,7 @@
     RetryBudget budget(10);
     const Instant start{std::chrono::hours(1)};
     for (int call = 0; call < 100; ++call)
-        budget.countFirstTry(start);
-    CHECK(budget.tryRetry(start));
-    CHECK_FALSE(budget.tryRetry(start + std::chrono::minutes(1)));
+        budget.countFirstAttempt(start);
+    CHECK(budget.tryAcquire(start));
+    CHECK_FALSE(budget.tryAcquire(start + std::chrono::minutes(1)));
 }
--- a/tests/routing/servicerouter_test.cpp
+++ b/tests/routing/servicerouter_test.cpp
@@ -78,7 +78,7 @@
     const Admission admission = router.admit(requestBy(Millis(1000)), now);
     REQUIRE(std::holds_alternative<Refusal>(admission));
     CHECK(std::get<Refusal>(admission).reason == RefusalReason::NoUpstream);
-    CHECK(router.endpointCount() == 0); // the gauge of ready instances
+    CHECK(router.readyEndpointCount() == 0); // the gauge of ready instances
 }
 
 TEST_CASE_METHOD(ServiceRouterTest,
@@ -106,7 +106,7 @@
         endpoint = std::get<SlotGrant>(router.admit(requestBy(Millis(9000)), now)).endpoint;
     const auto late = std::get<Waiting>(router.admit(requestBy(Millis(9000)), now));
     const auto early = std::get<Waiting>(router.admit(requestBy(Millis(5000)), now));
-    const auto grants = router.finish(endpoint, AttemptResult::Answered, Millis(10), now);
+    const auto grants = router.releaseSlot(endpoint, AttemptResult::Responded, Millis(10), now);
     REQUIRE(grants.size() == 1);
     CHECK(grants.front().waiter == early.id);
     CHECK(late.id != early.id);
@@ -121,7 +121,7 @@
     const Admission admission = router.admit(requestBy(Millis(5)), now);
     const auto &refusal = std::get<Refusal>(admission);
     CHECK(refusal.reason == RefusalReason::TimeoutTooShort);
-    CHECK(refusal.ran == Ran::No);
+    CHECK(refusal.execution == ExecutionStatus::NotExecuted);
     CHECK(refusal.retryAfter.has_value());
 }
 
@@ -143,8 +143,9 @@
         const bool isBad = grant.endpoint.host == HostId("h0");
         failed += isBad ? 1 : 0;
         now += Millis(1);
-        router.finish(grant.endpoint, isBad ? AttemptResult::Broken : AttemptResult::Answered,
-                      Millis(isBad ? 1 : 10), now);
+        router.releaseSlot(grant.endpoint,
+                           isBad ? AttemptResult::IncompleteResponse : AttemptResult::Responded,
+                           Millis(isBad ? 1 : 10), now);
     }
     CHECK(failed < 30);
 }
@@ -174,21 +175,22 @@
             } else {
                 const Endpoint endpoint = held.back();
                 held.pop_back();
-                const auto result = *rc::gen::element(
-                    AttemptResult::Answered, AttemptResult::Refused, AttemptResult::Broken);
-                take(router.finish(endpoint, result, Millis(5), now));
+                const auto result = *rc::gen::element(AttemptResult::Responded,
+                                                      AttemptResult::Refused,
+                                                      AttemptResult::IncompleteResponse);
+                take(router.releaseSlot(endpoint, result, Millis(5), now));
             }
             std::map<HostId, int> perHost;
             for (const Endpoint &endpoint : held)
                 RC_ASSERT(++perHost[endpoint.host] <= rule.slots);
             RC_ASSERT(router.inFlight() == static_cast<int>(held.size()));
-            RC_ASSERT(router.waiting() == waiting.size());
+            RC_ASSERT(router.waitingCount() == waiting.size());
         }
         while (!held.empty()) {
             const Endpoint endpoint = held.back();
             held.pop_back();
             now += Millis(40000);
-            take(router.finish(endpoint, AttemptResult::Answered, Millis(5), now));
+            take(router.releaseSlot(endpoint, AttemptResult::Responded, Millis(5), now));
         }
         RC_ASSERT(waiting.empty());
         RC_ASSERT(router.inFlight() == 0);
--- a/tests/support/memorytable.h
+++ b/tests/support/memorytable.h
@@ -11,7 +11,7 @@
 namespace oleanderhall::test {
 
 /// What a MemoryTable does with the next calls, one of the list for each write.
-enum class WriteFault { None, Down, LostAnswer, LateEffect, NoEffectUnknown };
+enum class WriteFault { None, Unavailable, ResponseLost, DelayedEffect, UnknownWithoutEffect };
 
 /// A MemoryTable is a transactional table in memory whose writes fail as a test says.
 class MemoryTable
@@ -30,15 +30,15 @@
         switch (fault) {
         case WriteFault::None:
             return write(writes);
-        case WriteFault::Down:
+        case WriteFault::Unavailable:
             throw PlatformUnavailable("down");
-        case WriteFault::LostAnswer:
+        case WriteFault::ResponseLost:
             tryWrite(writes);
             throw OutcomeUnknown("lost");
-        case WriteFault::LateEffect:
-            m_late.push_back(writes);
+        case WriteFault::DelayedEffect:
+            m_delayedWrites.push_back(writes);
             throw OutcomeUnknown("late");
-        case WriteFault::NoEffectUnknown:
+        case WriteFault::UnknownWithoutEffect:
             throw OutcomeUnknown("nothing happened");
         }
     }
@@ -68,11 +68,11 @@
     }
 
     /// Lets every delayed write take its effect now.
-    void landLateWrites()
+    void applyDelayedWrites()
     {
-        for (const auto &writes : m_late)
+        for (const auto &writes : m_delayedWrites)
             tryWrite(writes);
-        m_late.clear();
+        m_delayedWrites.clear();
     }
 
 private:
@@ -91,7 +91,7 @@
         for (std::size_t index = 0; index < writes.size(); ++index) {
             const auto found = m_items.find(writes[index].key);
             const std::uint64_t version = found == m_items.end() ? 0 : found->second.version;
-            if (writes[index].expected && *writes[index].expected != version)
+            if (writes[index].expectedVersion && *writes[index].expectedVersion != version)
                 failed.push_back(index);
         }
         if (!failed.empty())
@@ -105,7 +105,7 @@
     }
 
     std::map<TableKey, TableItem> m_items;
-    std::vector<std::vector<TableWrite>> m_late;
+    std::vector<std::vector<TableWrite>> m_delayedWrites;
 };
 
 /// A MemoryStore keeps objects in memory.
