--- a/include/oleanderhall/routing/attemptresult.h
+++ b/include/oleanderhall/routing/attemptresult.h
@@ -2,13 +2,16 @@
 
 namespace oleanderhall {
 
-/// How one attempt at an upstream ended, as far as the choice of the next one goes.
+/// The outcome of one attempt at an upstream, as ServiceRouter accounts for it when it chooses
+/// upstreams for later requests.
 enum class AttemptResult {
-    Responded, ///< A whole answer came.
-    Refused, ///< The upstream refused before work, by a status that its rule names.
-    Unreachable, ///< No connection; nothing was sent.
-    IncompleteResponse, ///< Sent, but no whole answer came.
-    NotAttempted, ///< The slot was given back unused.
+    Responded, ///< A complete response was received.
+    Refused, ///< The upstream rejected the request before executing it
+             ///< (ServiceRule::notRunStatuses).
+    Unreachable, ///< No connection could be opened; nothing was sent.
+    IncompleteResponse, ///< Sent, but no complete response was received.
+    NotAttempted, ///< The slot is released without a result that counts for or against the
+                  ///< upstream.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/routing/circuitbreaker.h
+++ b/include/oleanderhall/routing/circuitbreaker.h
@@ -4,18 +4,20 @@
 
 namespace oleanderhall {
 
-/// An CircuitBreaker keeps requests from waiting for something that is known to be away. After a
-/// failure it lets one request through from time to time to find out whether the outage has ended,
-/// and turns the others down at once. It is not synchronised.
+/// A CircuitBreaker rejects requests to an unavailable dependency at once, so that they don't wait
+/// for it. After a failure it is open: it lets one probe request through per interval, which finds
+/// out whether the outage has ended, and rejects the others. The first success closes it. It is not
+/// synchronised.
 class CircuitBreaker
 {
 public:
-    /// `probePeriod` is the time between two tries during an outage.
-    explicit CircuitBreaker(Millis probePeriod)
-        : m_probeInterval(probePeriod)
+    /// `probeInterval` is the time between two probes while the breaker is open.
+    explicit CircuitBreaker(Millis probeInterval)
+        : m_probeInterval(probeInterval)
     {}
 
-    /// Says whether a request may try now. During an outage, a yes is the probe of its period.
+    /// Returns whether a request may be sent now. While the breaker is open, true means that this
+    /// request is the probe of the current interval.
     bool allowRequest(Instant now)
     {
         if (!m_isOpen)
--- a/include/oleanderhall/routing/claimrecord.h
+++ b/include/oleanderhall/routing/claimrecord.h
@@ -8,34 +8,35 @@
 
 namespace oleanderhall {
 
-/// How far an unrepeatable request got under its key.
+/// The state of an unrepeatable request, as stored under its idempotency key.
 enum class ClaimState {
-    Claimed, ///< One entry host alone may send it.
-    Released, ///< It was given up before anything was sent.
-    Done, ///< It ran, and its answer came.
-    Unknown, ///< It was sent, and no whole answer came.
+    Claimed, ///< Only the entry host that holds the token may send it.
+    Released, ///< The claim was released before anything was sent.
+    Done, ///< It was executed, and its response was received.
+    Unknown, ///< It was sent, but no complete response was received.
 };
 
-/// A ClaimRecord is the row that makes a request with an Idempotency-Key run at most once. Only the
+/// The table row by which a request with an Idempotency-Key is executed at most once. Only the
 /// holder of the token may send the request or change the row.
 struct ClaimRecord
 {
     ClaimState state = ClaimState::Claimed;
-    std::string token; ///< Names the one attempt that holds the claim.
-    std::string bodyHash; ///< Tells another request under the same key from a repetition.
-    int status = 0; ///< The answer's status code, when Done.
+    std::string token; ///< Identifies the claim attempt that holds the claim.
+    std::string
+        bodyHash; ///< Distinguishes a repetition from a different request with the same key.
+    int status = 0; ///< Status code of the response, if Done.
     std::string contentType;
     std::string body;
-    bool hasStoredBody = false; ///< Whether the answer was small enough to be kept.
+    bool hasStoredBody = false; ///< False if the response body was too large to be stored.
 
     friend bool operator==(const ClaimRecord &, const ClaimRecord &) = default;
 };
 
-/// The request may be claimed, replacing the row that was read.
+/// The request may be claimed; the claim replaces the row that was read, if any.
 struct ClaimAllowed
 {};
 
-/// The kept answer is the answer to this repetition as well.
+/// The stored response, returned to a repetition of the request.
 struct ReplayedResponse
 {
     int status = 0;
@@ -43,15 +44,17 @@
     std::string body;
 };
 
+/// The result of evaluateClaim().
 using ClaimDecision = std::variant<ClaimAllowed, ReplayedResponse, Refusal>;
 
-/// Decides what a request may do, given the row under its key, if there is one.
+/// Decides whether a request may be claimed, gets the stored response or is refused, given the row
+/// under its key, if there is one, and the hash of its body.
 ClaimDecision evaluateClaim(const std::optional<ClaimRecord> &existing,
                             const std::string &bodyHash);
 
-/// Returns the record as stored in the table.
+/// Serializes the record for the table.
 std::string encodeClaim(const ClaimRecord &record);
-/// Parses what encodeClaim() wrote. Throws InvalidDocument.
+/// Parses the output of encodeClaim(). Throws InvalidDocument.
 ClaimRecord parseClaim(const std::string &text);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/routing/claimstore.h
+++ b/include/oleanderhall/routing/claimstore.h
@@ -12,30 +12,30 @@
 
 namespace oleanderhall {
 
-/// A ClaimRequest asks for the right to send one unrepeatable request. No two requests of a batch
-/// may have the same key.
+/// Asks for the right to send one unrepeatable request. The keys within a batch must be distinct.
 struct ClaimRequest
 {
     TableKey key;
     std::string bodyHash;
-    std::string token; ///< Unique to this attempt.
+    std::string token; ///< Unique to this claim attempt.
 };
 
-/// A ClaimHandle is the right to send one request, held by one attempt.
+/// The right to send one request. It belongs to the claim attempt whose token is in the record.
 struct ClaimHandle
 {
     TableKey key;
-    std::uint64_t version = 0;
+    std::uint64_t version = 0; ///< Version of the table row that holds the claim.
     ClaimRecord record;
 };
 
-/// What became of a ClaimRequest.
+/// The result of a ClaimRequest.
 using ClaimOutcome = std::variant<ClaimHandle, ReplayedResponse, Refusal>;
 
-/// A ClaimStore keeps claims in the platform's table, so that a request with a key runs at most
-/// once whichever entry hosts it reaches. A handle is given out only for a row that is known to
-/// hold its token; when that can't be known, the request is refused as not run. Calls block on the
-/// table. It has no state of its own and may be used by any thread.
+/// A ClaimStore stores claims in the platform's table, so that a request with an idempotency key is
+/// executed at most once, whichever entry hosts receive it. A handle is returned only when the row
+/// is known to hold the token of the request. If that can't be determined, the request is refused
+/// as not executed. Calls block until the table responds or the call times out. The class is
+/// stateless and may be used from any thread.
 template <Table TableType>
 class ClaimStore
 {
@@ -44,7 +44,7 @@
         : m_table(table)
     {}
 
-    /// Claims for a batch of requests; the outcomes stand in their order.
+    /// Claims a batch of requests. Returns one outcome per request, in the same order.
     std::vector<ClaimOutcome> claim(const std::vector<ClaimRequest> &requests)
     {
         std::vector<ClaimOutcome> outcomes(requests.size(), unavailable());
@@ -64,7 +64,8 @@
         return outcomes;
     }
 
-    /// Records how the request of `handle` ended. Returns false when it should be tried again.
+    /// Writes the final `record` of the request that `handle` belongs to. Returns false when the
+    /// write may not have taken effect and should be retried.
     bool recordOutcome(const ClaimHandle &handle, const ClaimRecord &record)
     {
         try {
@@ -72,7 +73,7 @@
                              record.token + "-" + std::to_string(handle.version + 1));
             return true;
         } catch (const ConditionFailed &) {
-            return true; // An earlier try had its effect.
+            return true; // An earlier attempt at this write has taken effect.
         } catch (const PlatformUnavailable &) {
             return false;
         } catch (const OutcomeUnknown &) {
@@ -80,14 +81,14 @@
         }
     }
 
-    /// Releases the claim of a request that was refused while its claim might still land. Returns
-    /// true when the row is known to hold no open claim of this request.
+    /// Releases the claim of a request that was refused although its write may still take effect.
+    /// Returns true when the row is known to hold no open claim of this request.
     bool releaseIfHeld(const ClaimRequest &request)
     {
         try {
             const auto item = m_table.read(request.key);
             if (!item)
-                return false; // The claim may still land.
+                return false; // The write of the claim may still take effect.
             ClaimRecord record = parseClaim(item->data);
             if (record.token != request.token || record.state != ClaimState::Claimed)
                 return true;
@@ -110,16 +111,17 @@
     }
 
     static TableWrite makePut(const TableKey &key, const ClaimRecord &record,
-                              std::uint64_t expected)
+                              std::uint64_t expectedVersion)
     {
         return {.key = key,
-                .expectedVersion = expected,
-                .version = expected + 1,
+                .expectedVersion = expectedVersion,
+                .version = expectedVersion + 1,
                 .data = encodeClaim(record)};
     }
 
-    /// Inserts a row for each open request. Returns those whose row exists already; the others got
-    /// their outcome, unless some row existed: then none was inserted.
+    /// Inserts a row for each open request in one transaction and sets the outcomes. If any of the
+    /// rows exists already, inserts none, leaves the outcomes as they are and returns the indexes
+    /// of the requests whose rows exist.
     std::vector<std::size_t> insertOpen(const std::vector<ClaimRequest> &requests,
                                         const std::vector<std::size_t> &open,
                                         std::vector<ClaimOutcome> &outcomes)
@@ -131,7 +133,7 @@
                 makePut(requests[index].key, recordFor(requests[index]), TableWrite::kAbsent));
         }
         try {
-            // The table wants another token for each set of writes.
+            // The table requires a different token for each set of writes.
             m_table.transact(writes,
                              requests[open.front()].token + "-" + std::to_string(open.size()));
             for (const std::size_t index : open)
@@ -143,7 +145,7 @@
                 taken.push_back(open.at(write));
             return taken;
         } catch (const PlatformUnavailable &) {
-            // Refused as they stand in `outcomes`.
+            // The outcomes already hold the refusal.
         } catch (const OutcomeUnknown &) {
             for (const std::size_t index : open)
                 outcomes[index] = readBack(requests[index]);
@@ -151,7 +153,7 @@
         return {};
     }
 
-    /// Decides on a request whose row exists already.
+    /// Determines the outcome of a request whose row existed when it was inserted.
     ClaimOutcome resolveExisting(const ClaimRequest &request)
     {
         try {
@@ -172,6 +174,7 @@
         }
     }
 
+    /// Writes a claim of `request` over the row at `version`, or inserts it for kAbsent.
     ClaimOutcome replace(const ClaimRequest &request, std::uint64_t version)
     {
         try {
@@ -186,6 +189,7 @@
         }
     }
 
+    /// Reads the row after a write whose outcome is unknown.
     ClaimOutcome readBack(const ClaimRequest &request)
     {
         try {
@@ -196,7 +200,7 @@
             if (isHeldBy(record, request))
                 return ClaimHandle{request.key, item->version, record};
         } catch (const PlatformUnavailable &) {
-            // Refused below: whether the claim was taken can't be known now.
+            // Refused below, because it is unknown whether the claim was stored.
         }
         return unavailable();
     }
--- a/include/oleanderhall/routing/concurrencywindow.h
+++ b/include/oleanderhall/routing/concurrencywindow.h
@@ -4,20 +4,24 @@
 
 namespace oleanderhall {
 
-/// A ConcurrencyWindow is one entry host's share of an upstream's slots. It starts at an even
-/// share, grows while it is used to the full and answers come, and shrinks when the upstream
-/// refuses for want of a slot. The even share itself is never given up.
+/// A ConcurrencyWindow limits how many requests one entry host has in flight at an upstream. It
+/// adapts as in congestion control: it starts at an even share of the upstream's slots, grows with
+/// the responses while it is fully used, and shrinks when the upstream refuses a request for lack
+/// of a free slot. It never falls below the even share.
 class ConcurrencyWindow
 {
 public:
-    /// `slots` is what the upstream has in all, `entryHosts` how many share it.
-    ConcurrencyWindow(int slots, int entryHosts);
+    /// `slots` is the number of requests that the upstream executes at a time; `entryHostCount`
+    /// entry hosts share them.
+    ConcurrencyWindow(int slots, int entryHostCount);
 
-    /// Sets how many entry hosts share the upstream.
-    void setEntryHostCount(int entryHosts);
-    /// Returns how many requests may be in flight.
+    /// Sets the number of entry hosts that share the upstream, and with it the even share.
+    void setEntryHostCount(int entryHostCount);
+    /// Returns the highest number of requests that may be in flight.
     int size() const { return static_cast<int>(m_size); }
+    /// Grows the window unless `inFlight` requests leave a part of it unused.
     void onResponse(int inFlight, Instant now);
+    /// Shrinks the window and suspends its growth for a while.
     void onRefusal(Instant now);
 
 private:
--- a/include/oleanderhall/routing/endpoint.h
+++ b/include/oleanderhall/routing/endpoint.h
@@ -7,7 +7,7 @@
 
 namespace oleanderhall {
 
-/// An Endpoint is one upstream: a service instance in one life of its host.
+/// An Endpoint is one upstream: a service instance on a host in one epoch of that host.
 struct Endpoint
 {
     HostId host;
--- a/include/oleanderhall/routing/executionstatus.h
+++ b/include/oleanderhall/routing/executionstatus.h
@@ -4,10 +4,11 @@
 
 namespace oleanderhall {
 
-/// Whether a request that got no answer of its own was run. It is No only when that is certain.
+/// Whether an upstream executed a request for which the caller gets no response of the upstream.
+/// NotExecuted is used only when that is certain.
 enum class ExecutionStatus { NotExecuted, Executed, Unknown };
 
-/// Returns the value as callers read it in a refusal: "no", "yes" or "unknown".
-std::string_view nameOf(ExecutionStatus ran);
+/// Returns the value as written in the body of a refusal: "no", "yes" or "unknown".
+std::string_view nameOf(ExecutionStatus execution);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/routing/refusal.h
+++ b/include/oleanderhall/routing/refusal.h
@@ -8,12 +8,12 @@
 
 namespace oleanderhall {
 
-/// A Refusal is the final answer to a request that got none from an upstream.
+/// A Refusal is the final reply to a request for which no response of an upstream is returned.
 struct Refusal
 {
     RefusalReason reason = RefusalReason::BadRequest;
     ExecutionStatus execution = ExecutionStatus::NotExecuted;
-    std::optional<Millis> retryAfter; ///< Set only where coming back can help.
+    std::optional<Millis> retryAfter; ///< Set only if a later retry may succeed.
 
     friend bool operator==(const Refusal &, const Refusal &) = default;
 };
--- a/include/oleanderhall/routing/refusalreason.h
+++ b/include/oleanderhall/routing/refusalreason.h
@@ -5,8 +5,8 @@
 
 namespace oleanderhall {
 
-/// Why a caller's request got a refusal instead of an upstream's answer. Each has a stable name, a
-/// status code and a counter.
+/// Why a caller's request was refused instead of being answered by an upstream. Each reason has a
+/// stable name, an HTTP status code and a counter.
 enum class RefusalReason {
     BadRequest,
     HeaderTooLarge,
@@ -35,12 +35,12 @@
     Stopping,
 };
 
-/// How many refusal reasons there are.
+/// The number of refusal reasons. Keep Stopping the last enumerator.
 inline constexpr int kRefusalReasonCount = static_cast<int>(RefusalReason::Stopping) + 1;
 
-/// Returns the stable name that callers and counters use.
+/// Returns the stable name used in refusal bodies and in metrics.
 std::string_view nameOf(RefusalReason reason);
-/// Returns the HTTP status code of a refusal for this reason.
+/// Returns the HTTP status code of a refusal with this reason.
 int statusOf(RefusalReason reason);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/routing/retrybudget.h
+++ b/include/oleanderhall/routing/retrybudget.h
@@ -6,21 +6,23 @@
 
 namespace oleanderhall {
 
-/// A RetryBudget admits retries up to a share of the first tries of the running minute, so that the
-/// share holds for each minute by itself. Only a retry that sends a request again draws on it.
+/// A RetryBudget limits retries to a percentage of the first attempts counted so far in the current
+/// one-minute window. Nothing is carried over, so the limit holds for each window on its own. A
+/// retry after a failed connection, for which nothing was sent, is not charged to it.
 class RetryBudget
 {
 public:
-    /// `percent` is the highest share of retries in first tries.
+    /// `percent` is the highest number of retries per 100 first attempts.
     explicit RetryBudget(int percent)
         : m_percent(percent)
     {}
 
     void countFirstAttempt(Instant now);
-    /// Returns whether a retry may be sent now, and counts it if so.
+    /// Returns whether a retry may be sent now. If so, charges it to the budget.
     bool tryAcquire(Instant now);
 
 private:
+    /// Resets the counters if a minute has passed since the window began.
     void startMinute(Instant now);
 
     int m_percent;
--- a/include/oleanderhall/routing/retryreason.h
+++ b/include/oleanderhall/routing/retryreason.h
@@ -4,13 +4,13 @@
 
 namespace oleanderhall {
 
-/// Why a request was tried again at an upstream.
+/// Why a request was sent to an upstream again.
 enum class RetryReason { ConnectFailed, UpstreamRefused, StaleConnection, TimedOut, BrokenAnswer };
 
-/// How many retry reasons there are.
+/// The number of retry reasons. Keep BrokenAnswer the last enumerator.
 inline constexpr int kRetryReasonCount = static_cast<int>(RetryReason::BrokenAnswer) + 1;
 
-/// Returns the stable name that counters use.
+/// Returns the stable name used in metrics.
 std::string_view nameOf(RetryReason reason);
 
 } // namespace oleanderhall
--- a/src/peer/peerclient.cpp
+++ b/src/peer/peerclient.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxEntries = 200;
+constexpr std::uint32_t kMaxEntriesPerPull = 200;
 
 std::unique_ptr<peer::Peer::Stub> stubFor(const std::string &address)
 {
@@ -47,7 +47,7 @@
     setDeadline(context, m_timeout);
     peer::PullRequest request;
     request.set_sequence(after.value);
-    request.set_limit(kMaxEntries);
+    request.set_limit(kMaxEntriesPerPull);
     peer::PullReply reply;
     throwUnlessOk(stub->Pull(&context, request, &reply));
     PullResult result;
--- a/src/peer/peerserver.cpp
+++ b/src/peer/peerserver.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxEntries = 1000;
-constexpr int kHostsPerPart = 500;
+constexpr std::uint32_t kMaxEntriesPerReply = 1000;
+constexpr int kHostsPerPage = 500;
 constexpr int kMaxRequestBytes = 4096;
 constexpr int kMaxThreads = 6;
 
@@ -34,7 +34,7 @@
         // The age is read first: the entries read after it can only be newer.
         reply->set_view_age_ms(static_cast<std::uint64_t>(m_source.viewAge().count()));
         std::vector<std::string> entries;
-        const std::size_t limit = std::min(request->limit(), kMaxEntries);
+        const std::size_t limit = std::min(request->limit(), kMaxEntriesPerReply);
         if (!m_source.entriesAfter({request->sequence()}, limit, entries))
             reply->set_needs_snapshot(true);
         for (std::string &entry : entries)
@@ -70,7 +70,7 @@
                 return item.first.name() > request.after_host();
             });
         }
-        for (int count = 0; host != state.hosts().end() && count < kHostsPerPart; ++count, ++host) {
+        for (int count = 0; host != state.hosts().end() && count < kHostsPerPage; ++count, ++host) {
             reply.add_hosts(toJson(host->second).serialize());
             reply.add_host_sequences(host->second.changedAt.value);
             reply.set_next_after_host(host->first.name());
--- a/src/platform/dynamotable.cpp
+++ b/src/platform/dynamotable.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
-constexpr int kUnavailable = 503;
+constexpr int kServiceUnavailable = 503;
 constexpr const char *kTableName = "oleanderhall";
 
 value textAttribute(const std::string &text)
@@ -32,7 +32,7 @@
     return result;
 }
 
-value keyOf(const TableKey &key)
+value keyAttributes(const TableKey &key)
 {
     value result = value::object();
     result["pk"] = textAttribute(key.partition);
@@ -40,17 +40,17 @@
     return result;
 }
 
-value actionOf(const TableWrite &write)
+value actionBody(const TableWrite &write)
 {
     value action = value::object();
     action["TableName"] = value::string(kTableName);
     if (write.kind == TableWrite::Kind::Put) {
-        value item = keyOf(write.key);
+        value item = keyAttributes(write.key);
         item["ver"] = numberAttribute(write.version);
         item["data"] = textAttribute(write.data);
         action["Item"] = item;
     } else {
-        action["Key"] = keyOf(write.key);
+        action["Key"] = keyAttributes(write.key);
     }
     if (write.expectedVersion && *write.expectedVersion == TableWrite::kAbsent) {
         action["ConditionExpression"] = value::string("attribute_not_exists(pk)");
@@ -68,8 +68,8 @@
     return kind == TableWrite::Kind::Delete ? "Delete" : "ConditionCheck";
 }
 
-HttpCall callOf(const std::string &address, const std::string &operation, const value &body,
-                Millis timeout)
+HttpCall makeCall(const std::string &address, const std::string &operation, const value &body,
+                  Millis timeout)
 {
     return {.method = "POST",
             .url = address,
@@ -78,7 +78,7 @@
             .timeout = timeout};
 }
 
-TableItem itemOf(const value &json)
+TableItem parseItem(const value &json)
 {
     TableItem item;
     item.key.partition = json.at("pk").at("S").as_string();
@@ -92,7 +92,7 @@
     return item;
 }
 
-[[noreturn]] void throwRefusal(const HttpAnswer &answer)
+[[noreturn]] void throwTransactionError(const HttpAnswer &answer)
 {
     const value json = value::parse(answer.body);
     std::vector<std::size_t> failed;
@@ -132,16 +132,16 @@
     body["ClientRequestToken"] = value::string(token);
     value items = value::array(writes.size());
     for (std::size_t index = 0; index < writes.size(); ++index)
-        items[index][std::string(actionName(writes[index].kind))] = actionOf(writes[index]);
+        items[index][std::string(actionName(writes[index].kind))] = actionBody(writes[index]);
     body["TransactItems"] = items;
     const HttpAnswer answer = callPlatform(
-        callOf(m_address, "TransactWriteItems", body, m_timeout));
+        makeCall(m_address, "TransactWriteItems", body, m_timeout));
     if (answer.status == kOk)
         return;
     if (answer.status == kBadRequest)
-        parseAnswer([&answer] { throwRefusal(answer); });
+        parseAnswer([&answer] { throwTransactionError(answer); });
     const std::string what = "the table answered status " + std::to_string(answer.status);
-    if (answer.status == kUnavailable)
+    if (answer.status == kServiceUnavailable)
         throw PlatformUnavailable(what);
     throw OutcomeUnknown(what);
 }
@@ -150,14 +150,14 @@
 {
     value body = value::object();
     body["TableName"] = value::string(kTableName);
-    body["Key"] = keyOf(key);
+    body["Key"] = keyAttributes(key);
     body["ConsistentRead"] = value::boolean(true);
-    const std::string answer = fetchFromPlatform(callOf(m_address, "GetItem", body, m_timeout));
+    const std::string answer = fetchFromPlatform(makeCall(m_address, "GetItem", body, m_timeout));
     return parseAnswer([&answer]() -> std::optional<TableItem> {
         const value json = value::parse(answer);
         if (!json.has_object_field("Item"))
             return std::nullopt;
-        return itemOf(json.at("Item"));
+        return parseItem(json.at("Item"));
     });
 }
 
@@ -174,12 +174,12 @@
         body["KeyConditionExpression"] = value::string("pk = :pk AND sk > :sk");
         body["ExpressionAttributeValues"][":sk"] = textAttribute(query.after);
     }
-    const std::string answer = fetchFromPlatform(callOf(m_address, "Query", body, m_timeout));
+    const std::string answer = fetchFromPlatform(makeCall(m_address, "Query", body, m_timeout));
     return parseAnswer([&answer] {
         const value json = value::parse(answer);
         TablePage page;
         for (const value &item : json.at("Items").as_array())
-            page.items.push_back(itemOf(item));
+            page.items.push_back(parseItem(item));
         if (json.has_object_field("LastEvaluatedKey"))
             page.nextAfter = json.at("LastEvaluatedKey").at("sk").at("S").as_string();
         return page;
--- a/src/platform/httpcall.cpp
+++ b/src/platform/httpcall.cpp
@@ -16,7 +16,7 @@
 
 constexpr int kOk = 200;
 
-bool wasNothingSent(const std::error_code &code)
+bool failedBeforeSending(const std::error_code &code)
 {
     return code == std::errc::connection_refused || code == std::errc::host_unreachable
         || code == std::errc::network_unreachable;
@@ -39,7 +39,7 @@
     }
 }
 
-HttpAnswer callThrough(const std::unique_ptr<http_client> &client, const HttpCall &call)
+HttpAnswer callWithClient(const std::unique_ptr<http_client> &client, const HttpCall &call)
 {
     try {
         web::http::http_request request(call.method);
@@ -52,7 +52,7 @@
         return {response.status_code(), response.extract_utf8string(true).get()};
     } catch (const web::http::http_exception &error) {
         const std::string what = call.method + " " + call.url + ": " + error.what();
-        if (wasNothingSent(error.error_code()))
+        if (failedBeforeSending(error.error_code()))
             throw PlatformUnavailable(what);
         throw OutcomeUnknown(what);
     }
@@ -68,7 +68,7 @@
 
 HttpAnswer callPlatform(const HttpCall &call)
 {
-    return callThrough(clientFor(call), call);
+    return callWithClient(clientFor(call), call);
 }
 
 std::string fetchFromPlatform(const HttpCall &call)
@@ -78,7 +78,7 @@
     try {
         if (!client)
             client = clientFor(call);
-        HttpAnswer answer = callThrough(client, call);
+        HttpAnswer answer = callWithClient(client, call);
         requireOk(answer, call.url);
         return std::move(answer.body);
     } catch (const OutcomeUnknown &error) {
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr std::int64_t kLargest = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxInteger = std::numeric_limits<std::int64_t>::max();
 constexpr Millis kTaskLease = std::chrono::hours(1);
 
-value taskOf(const ServiceRule &rule, const std::string &address)
+value taskToJson(const ServiceRule &rule, const std::string &address)
 {
     value task = value::object();
     task["service"] = value::string(rule.id.name());
@@ -40,7 +40,7 @@
     for (const ServiceId service : command.services) {
         const auto rule = config.services.find(service);
         if (rule != config.services.end() && host != config.hosts.end())
-            body["tasks"][index++] = taskOf(rule->second, host->second.address);
+            body["tasks"][index++] = taskToJson(rule->second, host->second.address);
     }
     return body;
 }
@@ -85,8 +85,8 @@
     }
     const JsonCursor cursor(json, "worker", "", findings);
     HostObservation seen{.health = Health::Fit};
-    seen.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kLargest))};
-    seen.bootEpoch = {static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kLargest))};
+    seen.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kMaxInteger))};
+    seen.bootEpoch = {static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kMaxInteger))};
     cursor.each("tasks", true, [&seen](const JsonCursor &task) {
         ++seen.activeInstances;
         const std::string service = task.text("service");
--- a/src/routing/refusalreason.cpp
+++ b/src/routing/refusalreason.cpp
@@ -50,7 +50,7 @@
     }
     return true;
 }
-static_assert(isOrdered(), "the rows stand in the order of the enumeration");
+static_assert(isOrdered(), "kRows must be in the order of RefusalReason");
 
 } // namespace
 
@@ -64,10 +64,10 @@
     return kRows[static_cast<std::size_t>(reason)].status;
 }
 
-std::string_view nameOf(ExecutionStatus ran)
+std::string_view nameOf(ExecutionStatus execution)
 {
     constexpr std::array<std::string_view, 3> kNames{"no", "yes", "unknown"};
-    return kNames[static_cast<std::size_t>(ran)];
+    return kNames[static_cast<std::size_t>(execution)];
 }
 
 std::string_view nameOf(RetryReason reason)
--- a/src/routing/servicerouter.cpp
+++ b/src/routing/servicerouter.cpp
@@ -8,8 +8,10 @@
 namespace {
 
 constexpr double kLatencyWeight = 0.1; // of a new sample in the moving average
-constexpr double kInitialLatencyMs = 10; // until the first answer
-constexpr double kFailurePenaltyMs = 1000; // so that failing fast never looks attractive
+constexpr double kInitialLatencyMs = 10; // before the first response
+// Recorded as the latency of a failed attempt, so that an upstream that fails fast doesn't appear
+// to be the least loaded. Estimates count no upstream with a higher latency than this.
+constexpr double kFailurePenaltyMs = 1000;
 constexpr int kFailuresUntilEjection = 3;
 constexpr int kMaxEjectionDoublings = 5;
 constexpr Millis kInitialEjectionTime{500};
@@ -53,11 +55,11 @@
     return grantWaiters(now);
 }
 
-void ServiceRouter::setEntryHostCount(int entryHosts)
+void ServiceRouter::setEntryHostCount(int entryHostCount)
 {
-    m_settings.entryHostCount = entryHosts;
+    m_settings.entryHostCount = entryHostCount;
     for (auto &[host, upstream] : m_upstreams)
-        upstream.window.setEntryHostCount(entryHosts);
+        upstream.window.setEntryHostCount(entryHostCount);
 }
 
 void ServiceRouter::setRule(const ServiceRule &rule)
@@ -92,7 +94,7 @@
 }
 
 std::vector<SlotGrant> ServiceRouter::releaseSlot(const Endpoint &endpoint, AttemptResult result,
-                                                  Millis took, Instant now)
+                                                  Millis duration, Instant now)
 {
     const auto found = m_upstreams.find(endpoint.host);
     if (found == m_upstreams.end() || !(found->second.endpoint == endpoint))
@@ -101,7 +103,7 @@
     if (result == AttemptResult::Responded) {
         upstream.window.onResponse(upstream.inFlight, now);
         upstream.latencyMs += kLatencyWeight
-            * (static_cast<double>(took.count()) - upstream.latencyMs);
+            * (static_cast<double>(duration.count()) - upstream.latencyMs);
         upstream.failuresInRow = 0;
         upstream.ejectedUntil = {};
     } else if (result == AttemptResult::Refused) {
@@ -178,7 +180,7 @@
         return false;
     if (upstream.ejectedUntil > now && !allowEjected)
         return false;
-    // An ejected upstream is tried by one request at a time.
+    // An ejected upstream gets one request at a time, as a probe.
     const int limit = upstream.ejectedUntil > now ? 1 : upstream.window.size();
     const int share = isLocal ? limit : std::max(limit / 2, 1);
     return upstream.inFlight < share;
@@ -200,7 +202,7 @@
         return false;
     if (!upstream.isStarting)
         return true;
-    // With a fresh view the news that it is ready comes in time.
+    // With a fresh view, the change to ready is received in time.
     return !request.viewIsFresh
         && std::none_of(m_upstreams.begin(), m_upstreams.end(), [&](const auto &item) {
                return !item.second.isStarting && isInReach(item.second);
--- a/tests/routing/claimstore_test.cpp
+++ b/tests/routing/claimstore_test.cpp
@@ -146,7 +146,8 @@
                     refused.push_back(batch[index]);
                     continue;
                 }
-                // The holder is killed, refuses before it sends, or runs the request.
+                // The holder crashes after it has sent the request (0), releases the claim before
+                // it sends the request (1), or sends it and records the outcome (2).
                 const int fate = *rc::gen::inRange(0, 3);
                 ClaimRecord record = handle->record;
                 record.state = fate == 1 ? ClaimState::Released : ClaimState::Done;
--- a/tests/routing/servicerouter_test.cpp
+++ b/tests/routing/servicerouter_test.cpp
@@ -57,8 +57,8 @@
 TEST_CASE_METHOD(ServiceRouterTest,
                  "ServiceRouter: cut off before its zone's instances were ready: they are tried")
 {
-    // A zone is cut off just after its instances became ready; its entry host's last view says
-    // that they start.
+    // A zone is partitioned from the fleet just after its instances became ready, so the last view
+    // of its entry host still lists them as starting.
     ServiceRouter router(rule, {.zone = ZoneId("here")});
     const Endpoint local{HostId("h1"), ZoneId("here"), {1}, "127.0.0.1", 1};
     const Endpoint remote{HostId("h2"), ZoneId("there"), {1}, "127.0.0.1", 1};
@@ -78,7 +78,7 @@
     const Admission admission = router.admit(requestBy(Millis(1000)), now);
     REQUIRE(std::holds_alternative<Refusal>(admission));
     CHECK(std::get<Refusal>(admission).reason == RefusalReason::NoUpstream);
-    CHECK(router.readyEndpointCount() == 0); // the gauge of ready instances
+    CHECK(router.readyEndpointCount() == 0); // exported as the gauge of ready instances
 }
 
 TEST_CASE_METHOD(ServiceRouterTest,
