--- a/include/oleanderhall/platform/dynamotable.h
+++ b/include/oleanderhall/platform/dynamotable.h
@@ -7,14 +7,14 @@
 
 namespace oleanderhall {
 
-/// A DynamoTable reaches the platform's table by the published DynamoDB JSON protocol
-/// (TransactWriteItems, GetItem, Query). Each call has a connection of its own, because a pooled
-/// client may send a write twice and a silent connection must cost one call only. It may be used by
-/// any thread.
+/// A DynamoTable accesses the platform's table through the published DynamoDB JSON protocol
+/// (TransactWriteItems, GetItem, Query). Each write uses a connection of its own, because a pooled
+/// client may send a write twice. Reads reuse one connection per thread and drop it after any
+/// failure, so that an unresponsive connection fails only one call. It may be used from any thread.
 class DynamoTable
 {
 public:
-    /// `address` is the service's URL; a call that takes longer than `timeout` is given up on.
+    /// `address` is the URL of the table service. A call that takes longer than `timeout` fails.
     DynamoTable(std::string address, Millis timeout);
 
     void transact(const std::vector<TableWrite> &writes, const std::string &token);
--- a/include/oleanderhall/platform/hostlist.h
+++ b/include/oleanderhall/platform/hostlist.h
@@ -7,14 +7,15 @@
 
 namespace oleanderhall {
 
-/// What the platform's list says of a name on it.
+/// The state of a host as the platform's list gives it.
 enum class ListedState { Live, Leaving };
 
-/// The platform's lagging list of hosts, by name. A name that is missing may still live.
+/// The platform's list of hosts, by name. The list lags, so a host that is missing from it may
+/// still be running.
 using HostList = std::map<std::string, ListedState>;
 
-/// Reads the platform's list in the published Prometheus HTTP service discovery format. Throws
-/// PlatformUnavailable.
+/// Fetches the platform's list, which has the published Prometheus HTTP service discovery format.
+/// Throws PlatformUnavailable.
 HostList fetchHostList(const std::string &address, Millis timeout);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/platform/httpobjectstore.h
+++ b/include/oleanderhall/platform/httpobjectstore.h
@@ -6,15 +6,17 @@
 
 namespace oleanderhall {
 
-/// An HttpObjectStore keeps objects by the plain PUT and GET of the usual object store protocol.
+/// An HttpObjectStore stores objects in an object store by plain HTTP PUT and GET requests. Its
+/// keys are appended to the address as paths.
 class HttpObjectStore
 {
 public:
+    /// `address` is the URL of the store. A call that takes longer than `timeout` fails.
     HttpObjectStore(std::string address, Millis timeout);
 
-    /// Throws PlatformUnavailable unless the object is known to be kept.
+    /// Stores an object. Throws PlatformUnavailable unless it is known to be stored.
     void put(const std::string &key, const std::string &data);
-    /// Throws PlatformUnavailable when the object can't be had.
+    /// Returns an object. Throws PlatformUnavailable when it can't be read.
     std::string fetch(const std::string &key);
 
 private:
--- a/include/oleanderhall/platform/table.h
+++ b/include/oleanderhall/platform/table.h
@@ -6,9 +6,10 @@
 
 namespace oleanderhall {
 
-/// A Table is a transactional table service. transact() writes all or nothing; it throws
-/// ConditionFailed, PlatformUnavailable (no effect) or OutcomeUnknown (effect possible, also
-/// later). read() and query() are consistent and throw PlatformUnavailable.
+/// A Table is a transactional table service. transact() applies all writes or none; it throws
+/// ConditionFailed or PlatformUnavailable (no write was applied), or OutcomeUnknown (the writes may
+/// have been applied or may be applied later). A repeated `token` marks a repetition of the same
+/// transaction. read() and query() are strongly consistent and throw PlatformUnavailable.
 template <typename T>
 concept Table = requires(T table, const std::vector<TableWrite> &writes, const std::string &token,
                          const TableKey &key, const TableQuery &query)
@@ -22,7 +23,8 @@
         } -> std::same_as<TablePage>;
 };
 
-/// An ObjectStore keeps immutable objects under keys that are never used twice.
+/// An ObjectStore stores immutable objects under keys that are never reused. put() and fetch()
+/// throw PlatformUnavailable.
 template <typename T>
 concept ObjectStore = requires(T store, const std::string &key, const std::string &data)
 {
--- a/include/oleanderhall/platform/workerclient.h
+++ b/include/oleanderhall/platform/workerclient.h
@@ -9,18 +9,22 @@
 
 namespace oleanderhall {
 
-/// A WorkerClient tells the platform's workers what to run and asks them what they run.
+/// A WorkerClient sends commands to the platform's workers and queries their state.
 class WorkerClient
 {
 public:
+    /// Worker URLs consist of `address` and the name of the host. A call that takes longer than
+    /// `timeout` fails.
     WorkerClient(std::string address, Millis timeout);
 
-    /// Returns the body of a command; `config` gives the settings of the services named.
+    /// Returns the body of a command. `config` provides the address of the host and the rules of
+    /// the services in the command.
     static std::string commandBody(const WorkerCommand &command, const Register &config);
-    /// Sends a command with its body. Throws PlatformUnavailable when it is not known to be taken;
-    /// it may be repeated then.
+    /// Sends a command with its body. Throws PlatformUnavailable or OutcomeUnknown unless the
+    /// worker is known to have accepted the command, which may then be sent again.
     void send(const WorkerCommand &command, const std::string &body);
-    /// Asks a worker for its state. Throws PlatformUnavailable when it doesn't answer.
+    /// Queries the state of the worker on `host`. Throws PlatformUnavailable when it doesn't
+    /// respond or its response is malformed.
     HostObservation observe(HostId host);
 
 private:
--- a/src/platform/dynamotable.cpp
+++ b/src/platform/dynamotable.cpp
@@ -88,7 +88,7 @@
     const auto [end, failed] = std::from_chars(version.data(), version.data() + version.size(),
                                                item.version);
     if (failed != std::errc() || end != version.data() + version.size())
-        throw PlatformUnavailable("the table answered a version that is no number");
+        throw PlatformUnavailable("the table returned a row version that is not a number");
     return item;
 }
 
@@ -104,18 +104,19 @@
         }
     }
     if (failed.empty())
-        throw PlatformUnavailable("the table refused the transaction: " + answer.body);
+        throw PlatformUnavailable("the table rejected the transaction: " + answer.body);
     throw ConditionFailed("a condition of the transaction failed", failed);
 }
 
-/// Runs `parse` on a platform answer and reports a malformed one as an unusable answer.
+/// Returns the result of `parse`. Throws PlatformUnavailable instead of its JSON errors.
 template <typename Parse>
 auto parseAnswer(const Parse &parse)
 {
     try {
         return parse();
     } catch (const web::json::json_exception &error) {
-        throw PlatformUnavailable(std::string("the table's answer is malformed: ") + error.what());
+        throw PlatformUnavailable(std::string("the table's response is malformed: ")
+                                  + error.what());
     }
 }
 
@@ -140,7 +141,7 @@
         return;
     if (answer.status == kBadRequest)
         parseAnswer([&answer] { throwTransactionError(answer); });
-    const std::string what = "the table answered status " + std::to_string(answer.status);
+    const std::string what = "the table returned status " + std::to_string(answer.status);
     if (answer.status == kServiceUnavailable)
         throw PlatformUnavailable(what);
     throw OutcomeUnknown(what);
--- a/src/platform/httpcall.h
+++ b/src/platform/httpcall.h
@@ -8,7 +8,7 @@
 
 namespace oleanderhall {
 
-/// Internal: an HTTP call to the platform.
+/// Internal: an HTTP request to the platform.
 struct HttpCall
 {
     std::string method;
@@ -18,24 +18,24 @@
     Millis timeout{1000};
 };
 
-/// Internal: the answer to an HttpCall.
+/// Internal: the response to an HttpCall.
 struct HttpAnswer
 {
     int status = 0;
     std::string body;
 };
 
-/// Internal: throws PlatformUnavailable unless `answer`, which came from `url`, has status 200.
+/// Internal: throws PlatformUnavailable unless `answer`, the response of `url`, has status 200.
 void requireOk(const HttpAnswer &answer, const std::string &url);
 
-/// Internal: makes the call on a connection of its own. Throws PlatformUnavailable when nothing was
-/// sent, OutcomeUnknown when something may have been.
+/// Internal: sends the request once, on a new connection. Throws PlatformUnavailable when nothing
+/// was sent and OutcomeUnknown when some or all of the request may have been sent.
 HttpAnswer callPlatform(const HttpCall &call);
 
-/// Internal: makes a call without effect, for which an unknown outcome is a plain failure and which
-/// may be sent twice. Each thread keeps its connections for such calls; they are given up after any
-/// failure, so that one gone silent costs one call. Throws PlatformUnavailable unless the answer
-/// has status 200.
+/// Internal: sends a request without side effects and returns the response body. The request may be
+/// sent twice, and an unknown outcome is reported as a failure. Connections are kept per thread and
+/// server and dropped after any failure, so that an unresponsive connection fails only one call.
+/// Throws PlatformUnavailable unless the response has status 200.
 std::string fetchFromPlatform(const HttpCall &call);
 
 } // namespace oleanderhall
--- a/src/platform/httpobjectstore.cpp
+++ b/src/platform/httpobjectstore.cpp
@@ -21,7 +21,7 @@
                                                 .timeout = m_timeout});
         requireOk(answer, m_address + "/" + key);
     } catch (const OutcomeUnknown &error) {
-        throw PlatformUnavailable(error.what()); // An object that nothing names does no harm.
+        throw PlatformUnavailable(error.what()); // An unreferenced object is harmless.
     }
 }
 
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -84,18 +84,19 @@
         throw PlatformUnavailable(error.what());
     }
     const JsonCursor cursor(json, "worker", "", findings);
-    HostObservation seen{.health = Health::Fit};
-    seen.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kMaxInteger))};
-    seen.bootEpoch = {static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kMaxInteger))};
-    cursor.each("tasks", true, [&seen](const JsonCursor &task) {
-        ++seen.activeInstances;
+    HostObservation observation{.health = Health::Fit};
+    observation.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kMaxInteger))};
+    observation.bootEpoch = {
+        static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kMaxInteger))};
+    cursor.each("tasks", true, [&observation](const JsonCursor &task) {
+        ++observation.activeInstances;
         const std::string service = task.text("service");
         if (task.text("state") == "running")
-            seen.running.push_back(ServiceId(service));
+            observation.running.push_back(ServiceId(service));
     });
     if (!findings.empty())
-        throw PlatformUnavailable("the worker's answer is malformed: " + findings.text());
-    return seen;
+        throw PlatformUnavailable("the worker's response is malformed: " + findings.text());
+    return observation;
 }
 
 std::string WorkerClient::urlOf(HostId host) const
--- a/src/routing/servicerouter.cpp
+++ b/src/routing/servicerouter.cpp
@@ -10,7 +10,7 @@
 constexpr double kLatencyWeight = 0.1; // of a new sample in the moving average
 constexpr double kInitialLatencyMs = 10; // before the first response
 // Recorded as the latency of a failed attempt, so that an upstream that fails fast doesn't appear
-// to be the least loaded. Estimates count no upstream with a higher latency than this.
+// to be the least loaded. Also caps the latency of each upstream in expectedLatencyMs().
 constexpr double kFailurePenaltyMs = 1000;
 constexpr int kFailuresUntilEjection = 3;
 constexpr int kMaxEjectionDoublings = 5;
--- a/tests/support/memorytable.h
+++ b/tests/support/memorytable.h
@@ -10,15 +10,21 @@
 
 namespace oleanderhall::test {
 
-/// What a MemoryTable does with the next calls, one of the list for each write.
-enum class WriteFault { None, Unavailable, ResponseLost, DelayedEffect, UnknownWithoutEffect };
+/// The fault that MemoryTable::transact() simulates.
+enum class WriteFault {
+    None,
+    Unavailable, ///< Reports that the table is unavailable and writes nothing.
+    ResponseLost, ///< Applies the writes, but reports that the outcome is unknown.
+    DelayedEffect, ///< Reports that the outcome is unknown; applyDelayedWrites() writes later.
+    UnknownWithoutEffect ///< Reports that the outcome is unknown and never writes.
+};
 
-/// A MemoryTable is a transactional table in memory whose writes fail as a test says.
+/// A MemoryTable is an in-memory transactional table with fault injection.
 class MemoryTable
 {
 public:
-    std::deque<WriteFault> faults; ///< Consumed by writes, front first; empty means none.
-    bool readsFail = false;
+    std::deque<WriteFault> faults; ///< Each transact() takes the front one; empty means None.
+    bool readsFail = false; ///< Makes read() and query() throw PlatformUnavailable.
 
     void transact(const std::vector<TableWrite> &writes, const std::string &)
     {
@@ -39,7 +45,7 @@
             m_delayedWrites.push_back(writes);
             throw OutcomeUnknown("late");
         case WriteFault::UnknownWithoutEffect:
-            throw OutcomeUnknown("nothing happened");
+            throw OutcomeUnknown("no effect");
         }
     }
 
@@ -67,7 +73,7 @@
         return page;
     }
 
-    /// Lets every delayed write take its effect now.
+    /// Applies the writes that DelayedEffect held back. Those whose condition fails are dropped.
     void applyDelayedWrites()
     {
         for (const auto &writes : m_delayedWrites)
@@ -81,7 +87,7 @@
         try {
             write(writes);
         } catch (const ConditionFailed &) {
-            // A condition failed; nobody hears of it.
+            // The caller is only told that the outcome is unknown.
         }
     }
 
@@ -108,7 +114,7 @@
     std::vector<std::vector<TableWrite>> m_delayedWrites;
 };
 
-/// A MemoryStore keeps objects in memory.
+/// A MemoryStore is an in-memory object store.
 class MemoryStore
 {
 public:
