--- a/src/peer/peerclient.cpp
+++ b/src/peer/peerclient.cpp
@@ -16,7 +16,7 @@
 std::unique_ptr<peer::Peer::Stub> stubFor(const std::string &address)
 {
     grpc::ChannelArguments arguments;
-    // A channel of its own, so that a connection gone silent costs this call only.
+    // Channels don't share connections, so that an unresponsive connection fails only this call.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     return peer::Peer::NewStub(
         grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments));
@@ -90,7 +90,8 @@
                     waves.push_back(parseWaveRow(wave));
             }
             if (reply.hosts_size() != reply.host_sequences_size())
-                throw PlatformUnavailable("peer: a snapshot whose hosts don't match");
+                throw PlatformUnavailable(
+                    "peer: the snapshot's hosts and host sequences differ in number");
             for (int index = 0; index < reply.hosts_size(); ++index)
                 hosts.push_back(parseHostRow(reply.hosts(index), {reply.host_sequences(index)}));
             request.set_after_host(reply.next_after_host());
--- a/src/peer/peerserver.cpp
+++ b/src/peer/peerserver.cpp
@@ -31,7 +31,7 @@
     grpc::Status Pull(grpc::ServerContext *, const peer::PullRequest *request,
                       peer::PullReply *reply) override
     {
-        // The age is read first: the entries read after it can only be newer.
+        // The age is read before the entries, so that it never understates how old they are.
         reply->set_view_age_ms(static_cast<std::uint64_t>(m_source.viewAge().count()));
         std::vector<std::string> entries;
         const std::size_t limit = std::min(request->limit(), kMaxEntriesPerReply);
--- a/src/peer/peerserver.h
+++ b/src/peer/peerserver.h
@@ -10,22 +10,26 @@
 
 namespace oleanderhall {
 
-/// Internal: what a PeerServer tells others, read under the owner's lock.
+/// Internal: the data that a PeerServer serves. The owner of the data implements the functions and
+/// locks it in them; they are called from the threads of the server.
 struct PeerSource
 {
-    /// Calls the visitor with the state while it can't change.
+    /// Calls the visitor with the state, which can't change during the call.
     std::function<void(const std::function<void(const FleetState &)> &)> withState;
-    /// Returns the texts of the entries after a sequence, or false when they are no longer held.
+    /// Appends up to the given number of serialized entries after a sequence. Returns false when
+    /// the log no longer holds them.
     std::function<bool(Sequence, std::size_t, std::vector<std::string> &)> entriesAfter;
+    /// Returns the age of the view of the fleet.
     std::function<Millis()> viewAge;
 };
 
-/// Internal: serves other entry hosts over gRPC.
+/// Internal: serves log entries and state snapshots to other entry hosts over gRPC.
 class PeerServer
 {
 public:
-    /// Starts to listen. Throws std::runtime_error when the address can't be had.
+    /// Starts the server. Throws std::runtime_error when it can't listen on `address`.
     PeerServer(const std::string &address, PeerSource source);
+    /// Stops the server. Calls in progress are cancelled after 500 ms.
     ~PeerServer();
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
