--- a/include/oleanderhall/routing/claimrecord.h
+++ b/include/oleanderhall/routing/claimrecord.h
@@ -23,7 +23,7 @@
     ClaimState state = ClaimState::Claimed;
     std::string token; ///< Identifies the claim attempt that holds the claim.
     std::string
-        bodyHash; ///< Distinguishes a repetition from a different request with the same key.
+        requestHash; ///< Distinguishes a repetition from a different request with the same key.
     int status = 0; ///< Status code of the response, if Done.
     std::string contentType;
     std::string body;
@@ -48,9 +48,9 @@
 using ClaimDecision = std::variant<ClaimAllowed, ReplayedResponse, Refusal>;
 
 /// Decides whether a request may be claimed, gets the stored response or is refused, given the row
-/// under its key, if there is one, and the hash of its body.
+/// under its key, if there is one, and the hash of the request.
 ClaimDecision evaluateClaim(const std::optional<ClaimRecord> &existing,
-                            const std::string &bodyHash);
+                            const std::string &requestHash);
 
 /// Serializes the record for the table.
 std::string encodeClaim(const ClaimRecord &record);
--- a/include/oleanderhall/routing/claimstore.h
+++ b/include/oleanderhall/routing/claimstore.h
@@ -16,7 +16,7 @@
 struct ClaimRequest
 {
     TableKey key;
-    std::string bodyHash;
+    std::string requestHash; ///< Hash of the method, target and body of the request.
     std::string token; ///< Unique to this claim attempt.
 };
 
@@ -107,7 +107,7 @@
 
     static ClaimRecord recordFor(const ClaimRequest &request)
     {
-        return {.token = request.token, .bodyHash = request.bodyHash};
+        return {.token = request.token, .requestHash = request.requestHash};
     }
 
     static TableWrite makePut(const TableKey &key, const ClaimRecord &record,
@@ -163,7 +163,7 @@
                 existing = parseClaim(item->data);
             if (existing && isHeldBy(*existing, request))
                 return ClaimHandle{request.key, item->version, *existing};
-            const ClaimDecision verdict = evaluateClaim(existing, request.bodyHash);
+            const ClaimDecision verdict = evaluateClaim(existing, request.requestHash);
             if (const auto *refusal = std::get_if<Refusal>(&verdict))
                 return *refusal;
             if (const auto *replay = std::get_if<ReplayedResponse>(&verdict))
--- a/src/http/claimservice.cpp
+++ b/src/http/claimservice.cpp
@@ -146,7 +146,7 @@
         ClaimHandle handle{
             batch[index].request.key,
             0,
-            {.token = batch[index].request.token, .bodyHash = batch[index].request.bodyHash}};
+            {.token = batch[index].request.token, .requestHash = batch[index].request.requestHash}};
         addEnding({handle, handle.record, true, kReleaseTries, Instant{}});
     }
 }
@@ -197,7 +197,7 @@
         if (!ending.isRelease)
             return m_ledger.recordOutcome(ending.handle, ending.record);
         return m_ledger.releaseIfHeld(
-            {ending.handle.key, ending.record.bodyHash, ending.record.token});
+            {ending.handle.key, ending.record.requestHash, ending.record.token});
     } catch (const std::exception &) {
         return false;
     }
--- a/src/peer/peerserver.cpp
+++ b/src/peer/peerserver.cpp
@@ -48,15 +48,15 @@
                           peer::SnapshotReply *reply) override
     {
         reply->set_view_age_ms(static_cast<std::uint64_t>(m_source.viewAge().count()));
-        m_source.withState([&](const FleetState &state) { fill(state, *request, *reply); });
+        m_source.withState([&](const FleetState &state) { fillSnapshot(state, *request, *reply); });
         if (reply->sequence() == 0)
             return {grpc::StatusCode::UNAVAILABLE, "no state yet"};
         return grpc::Status::OK;
     }
 
 private:
-    static void fill(const FleetState &state, const peer::SnapshotRequest &request,
-                     peer::SnapshotReply &reply)
+    static void fillSnapshot(const FleetState &state, const peer::SnapshotRequest &request,
+                             peer::SnapshotReply &reply)
     {
         reply.set_sequence(state.sequence().value);
         reply.set_config_version(state.configVersion().value);
--- a/src/platform/dynamotable.cpp
+++ b/src/platform/dynamotable.cpp
@@ -92,9 +92,9 @@
     return item;
 }
 
-[[noreturn]] void throwTransactionError(const HttpAnswer &answer)
+[[noreturn]] void throwTransactionError(const HttpAnswer &response)
 {
-    const value json = value::parse(answer.body);
+    const value json = value::parse(response.body);
     std::vector<std::size_t> failed;
     if (json.has_array_field("CancellationReasons")) {
         const auto &reasons = json.at("CancellationReasons").as_array();
@@ -104,13 +104,13 @@
         }
     }
     if (failed.empty())
-        throw PlatformUnavailable("the table rejected the transaction: " + answer.body);
+        throw PlatformUnavailable("the table rejected the transaction: " + response.body);
     throw ConditionFailed("a condition of the transaction failed", failed);
 }
 
 /// Returns the result of `parse`. Throws PlatformUnavailable instead of its JSON errors.
 template <typename Parse>
-auto parseAnswer(const Parse &parse)
+auto parseResponse(const Parse &parse)
 {
     try {
         return parse();
@@ -135,14 +135,14 @@
     for (std::size_t index = 0; index < writes.size(); ++index)
         items[index][std::string(actionName(writes[index].kind))] = actionBody(writes[index]);
     body["TransactItems"] = items;
-    const HttpAnswer answer = callPlatform(
+    const HttpAnswer response = callPlatform(
         makeCall(m_address, "TransactWriteItems", body, m_timeout));
-    if (answer.status == kOk)
+    if (response.status == kOk)
         return;
-    if (answer.status == kBadRequest)
-        parseAnswer([&answer] { throwTransactionError(answer); });
-    const std::string what = "the table returned status " + std::to_string(answer.status);
-    if (answer.status == kServiceUnavailable)
+    if (response.status == kBadRequest)
+        parseResponse([&response] { throwTransactionError(response); });
+    const std::string what = "the table returned status " + std::to_string(response.status);
+    if (response.status == kServiceUnavailable)
         throw PlatformUnavailable(what);
     throw OutcomeUnknown(what);
 }
@@ -153,9 +153,9 @@
     body["TableName"] = value::string(kTableName);
     body["Key"] = keyAttributes(key);
     body["ConsistentRead"] = value::boolean(true);
-    const std::string answer = fetchFromPlatform(makeCall(m_address, "GetItem", body, m_timeout));
-    return parseAnswer([&answer]() -> std::optional<TableItem> {
-        const value json = value::parse(answer);
+    const std::string response = fetchFromPlatform(makeCall(m_address, "GetItem", body, m_timeout));
+    return parseResponse([&response]() -> std::optional<TableItem> {
+        const value json = value::parse(response);
         if (!json.has_object_field("Item"))
             return std::nullopt;
         return parseItem(json.at("Item"));
@@ -175,9 +175,9 @@
         body["KeyConditionExpression"] = value::string("pk = :pk AND sk > :sk");
         body["ExpressionAttributeValues"][":sk"] = textAttribute(query.after);
     }
-    const std::string answer = fetchFromPlatform(makeCall(m_address, "Query", body, m_timeout));
-    return parseAnswer([&answer] {
-        const value json = value::parse(answer);
+    const std::string response = fetchFromPlatform(makeCall(m_address, "Query", body, m_timeout));
+    return parseResponse([&response] {
+        const value json = value::parse(response);
         TablePage page;
         for (const value &item : json.at("Items").as_array())
             page.items.push_back(parseItem(item));
--- a/src/platform/httpobjectstore.cpp
+++ b/src/platform/httpobjectstore.cpp
@@ -14,12 +14,12 @@
 void HttpObjectStore::put(const std::string &key, const std::string &data)
 {
     try {
-        const HttpAnswer answer = callPlatform({.method = "PUT",
-                                                .url = m_address + "/" + key,
-                                                .headers = {},
-                                                .body = data,
-                                                .timeout = m_timeout});
-        requireOk(answer, m_address + "/" + key);
+        const HttpAnswer response = callPlatform({.method = "PUT",
+                                                  .url = m_address + "/" + key,
+                                                  .headers = {},
+                                                  .body = data,
+                                                  .timeout = m_timeout});
+        requireOk(response, m_address + "/" + key);
     } catch (const OutcomeUnknown &error) {
         throw PlatformUnavailable(error.what()); // An unreferenced object is harmless.
     }
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -60,13 +60,13 @@
 void WorkerClient::send(const WorkerCommand &command, const std::string &body)
 {
     const bool isReboot = command.kind == WorkerCommand::Kind::Reboot;
-    const HttpAnswer answer = callPlatform(
+    const HttpAnswer response = callPlatform(
         {.method = isReboot ? "POST" : "PUT",
          .url = urlOf(command.host) + (isReboot ? "/reboot" : "/tasks"),
          .headers = {},
          .body = body,
          .timeout = m_timeout});
-    requireOk(answer, urlOf(command.host));
+    requireOk(response, urlOf(command.host));
 }
 
 HostObservation WorkerClient::observe(HostId host)
--- a/src/routing/claimrecord.cpp
+++ b/src/routing/claimrecord.cpp
@@ -35,11 +35,12 @@
 
 } // namespace
 
-ClaimDecision evaluateClaim(const std::optional<ClaimRecord> &existing, const std::string &bodyHash)
+ClaimDecision evaluateClaim(const std::optional<ClaimRecord> &existing,
+                            const std::string &requestHash)
 {
     if (!existing)
         return ClaimAllowed{};
-    if (existing->bodyHash != bodyHash)
+    if (existing->requestHash != requestHash)
         return Refusal{RefusalReason::KeyReused, ExecutionStatus::NotExecuted, std::nullopt};
     switch (existing->state) {
     case ClaimState::Released:
@@ -65,7 +66,7 @@
     result["state"] = value::string(
         std::string(kStateNames[static_cast<std::size_t>(record.state)]));
     result["token"] = value::string(record.token);
-    result["hash"] = value::string(record.bodyHash);
+    result["hash"] = value::string(record.requestHash);
     if (record.state == ClaimState::Done) {
         result["status"] = value::number(record.status);
         if (!record.contentType.empty())
@@ -86,7 +87,7 @@
     cursor.allowOnly({"state", "token", "hash", "status", "contentType", "body"});
     ClaimRecord record{.state = parseState(cursor),
                        .token = cursor.text("token"),
-                       .bodyHash = cursor.text("hash"),
+                       .requestHash = cursor.text("hash"),
                        .status = static_cast<int>(cursor.numberOr("status", 0, kMaxStatus, 0)),
                        .contentType = cursor.textOr("contentType", "")};
     if (json.is_object() && json.has_string_field("body")) {
--- a/tests/routing/claimstore_test.cpp
+++ b/tests/routing/claimstore_test.cpp
@@ -25,7 +25,7 @@
 {
 protected:
     MemoryTable table;
-    ClaimStore<MemoryTable> ledger{table};
+    ClaimStore<MemoryTable> store{table};
     int tokens = 0;
 
     ClaimRequest request(const std::string &key, const std::string &hash = "hash")
@@ -33,7 +33,7 @@
         return {{"claim-s", key}, hash, "token" + std::to_string(++tokens)};
     }
 
-    ClaimOutcome claimOne(const ClaimRequest &request) { return ledger.claim({request}).front(); }
+    ClaimOutcome claimOne(const ClaimRequest &request) { return store.claim({request}).front(); }
 
     static RefusalReason reasonOf(const ClaimOutcome &outcome)
     {
@@ -65,7 +65,7 @@
     record.status = 201;
     record.body = "the answer";
     record.hasStoredBody = true;
-    CHECK(ledger.recordOutcome(handle, record));
+    CHECK(store.recordOutcome(handle, record));
     CHECK(std::get<ReplayedResponse>(claimOne(request("k"))).body == "the answer");
 }
 
@@ -74,14 +74,14 @@
     const auto handle = std::get<ClaimHandle>(claimOne(request("k")));
     ClaimRecord record = handle.record;
     record.state = ClaimState::Released;
-    CHECK(ledger.recordOutcome(handle, record));
+    CHECK(store.recordOutcome(handle, record));
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
 TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: one duplicate in a batch: the others are claimed")
 {
     claimOne(request("b"));
-    const auto outcomes = ledger.claim({request("a"), request("b"), request("c")});
+    const auto outcomes = store.claim({request("a"), request("b"), request("c")});
     CHECK(std::holds_alternative<ClaimHandle>(outcomes[0]));
     CHECK(reasonOf(outcomes[1]) == RefusalReason::DuplicateInProgress);
     CHECK(std::holds_alternative<ClaimHandle>(outcomes[2]));
@@ -98,20 +98,20 @@
     table.faults = {WriteFault::DelayedEffect};
     const ClaimRequest late = request("k");
     CHECK(reasonOf(claimOne(late)) == RefusalReason::ClaimsUnavailable);
-    CHECK_FALSE(ledger.releaseIfHeld(late));
+    CHECK_FALSE(store.releaseIfHeld(late));
     table.applyDelayedWrites();
-    CHECK(ledger.releaseIfHeld(late));
+    CHECK(store.releaseIfHeld(late));
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
 TEST_CASE("ClaimStore: the table is down: refused as not run, and nothing is read")
 {
     MockTable table;
-    ClaimStore<MockTable> ledger(table);
+    ClaimStore<MockTable> store(table);
     REQUIRE_CALL(table, transact(trompeloeil::_, trompeloeil::_))
         .THROW(PlatformUnavailable("down"));
     FORBID_CALL(table, read(trompeloeil::_));
-    const auto outcome = ledger.claim({{{"claim-s", "k"}, "hash", "token"}}).front();
+    const auto outcome = store.claim({{{"claim-s", "k"}, "hash", "token"}}).front();
     CHECK(std::get<Refusal>(outcome)
           == Refusal{RefusalReason::ClaimsUnavailable, ExecutionStatus::NotExecuted, Millis(1000)});
 }
@@ -120,7 +120,7 @@
 {
     rc::prop("at most one run for each key, and 'not run' is true", [] {
         MemoryTable table;
-        ClaimStore<MemoryTable> ledger(table);
+        ClaimStore<MemoryTable> store(table);
         std::map<std::string, int> runs;
         std::vector<ClaimRequest> refused;
         const int steps = *rc::gen::inRange(1, 60);
@@ -138,7 +138,7 @@
             }
             if (batch.empty())
                 continue;
-            const auto outcomes = ledger.claim(batch);
+            const auto outcomes = store.claim(batch);
             table.readsFail = false;
             for (std::size_t index = 0; index < batch.size(); ++index) {
                 const auto *handle = std::get_if<ClaimHandle>(&outcomes[index]);
@@ -153,12 +153,12 @@
                 record.state = fate == 1 ? ClaimState::Released : ClaimState::Done;
                 runs[batch[index].key.row] += fate == 1 ? 0 : 1;
                 if (fate != 0)
-                    ledger.recordOutcome(*handle, record);
+                    store.recordOutcome(*handle, record);
             }
             if (*rc::gen::inRange(0, 3) == 0)
                 table.applyDelayedWrites();
             for (const ClaimRequest &request : refused)
-                ledger.releaseIfHeld(request);
+                store.releaseIfHeld(request);
             refused.clear();
         }
         for (const auto &[key, count] : runs)
--- a/tests/routing/retrybudget_test.cpp
+++ b/tests/routing/retrybudget_test.cpp
@@ -8,21 +8,21 @@
 
 TEST_CASE("RetryBudget: any traffic: at most a tenth of retries in each minute")
 {
-    rc::prop("retries * 10 <= first tries", [] {
+    rc::prop("retries * 10 <= first attempts", [] {
         RetryBudget budget(10);
         const Instant start{std::chrono::hours(1)};
-        int firstTries = 0;
+        int firstAttempts = 0;
         int retries = 0;
         const int calls = *rc::gen::inRange(0, 2000);
         for (int call = 0; call < calls; ++call) {
             const Instant now = start + Millis(call);
             if (*rc::gen::inRange(0, 3) > 0) {
                 budget.countFirstAttempt(now);
-                ++firstTries;
+                ++firstAttempts;
             } else if (budget.tryAcquire(now)) {
                 ++retries;
             }
-            RC_ASSERT(retries * 10 <= firstTries);
+            RC_ASSERT(retries * 10 <= firstAttempts);
         }
     });
 }
