--- a/src/platform/httpcall.cpp
+++ b/src/platform/httpcall.cpp
@@ -48,8 +48,8 @@
             request.headers().add(name, value);
         if (call.body)
             request.set_body(*call.body, "application/x-amz-json-1.0");
-        web::http::http_response response = client->request(request).get();
-        return {response.status_code(), response.extract_utf8string(true).get()};
+        web::http::http_response httpResponse = client->request(request).get();
+        return {httpResponse.status_code(), httpResponse.extract_utf8string(true).get()};
     } catch (const web::http::http_exception &error) {
         const std::string what = call.method + " " + call.url + ": " + error.what();
         if (failedBeforeSending(error.error_code()))
@@ -60,10 +60,10 @@
 
 } // namespace
 
-void requireOk(const HttpAnswer &answer, const std::string &url)
+void requireOk(const HttpAnswer &response, const std::string &url)
 {
-    if (answer.status != kOk)
-        throw PlatformUnavailable(url + ": status " + std::to_string(answer.status));
+    if (response.status != kOk)
+        throw PlatformUnavailable(url + ": status " + std::to_string(response.status));
 }
 
 HttpAnswer callPlatform(const HttpCall &call)
@@ -78,9 +78,9 @@
     try {
         if (!client)
             client = clientFor(call);
-        HttpAnswer answer = callWithClient(client, call);
-        requireOk(answer, call.url);
-        return std::move(answer.body);
+        HttpAnswer response = callWithClient(client, call);
+        requireOk(response, call.url);
+        return std::move(response.body);
     } catch (const OutcomeUnknown &error) {
         client.reset();
         throw PlatformUnavailable(error.what());
--- a/src/platform/httpcall.h
+++ b/src/platform/httpcall.h
@@ -25,8 +25,8 @@
     std::string body;
 };
 
-/// Internal: throws PlatformUnavailable unless `answer`, the response of `url`, has status 200.
-void requireOk(const HttpAnswer &answer, const std::string &url);
+/// Internal: throws PlatformUnavailable unless `response`, which `url` returned, has status 200.
+void requireOk(const HttpAnswer &response, const std::string &url);
 
 /// Internal: sends the request once, on a new connection. Throws PlatformUnavailable when nothing
 /// was sent and OutcomeUnknown when some or all of the request may have been sent.
