--- a/include/oleanderhall/routing/servicerouter.h
+++ b/include/oleanderhall/routing/servicerouter.h
@@ -78,8 +78,9 @@
 
     /// Grants a slot, queues the request, or refuses it as not executed.
     Admission admit(const SlotRequest &request, Instant now);
-    /// Releases a slot and records the result of the attempt, which took `duration`. Returns the
-    /// grants of the waiting requests that now get a slot.
+    /// Releases a slot and records the result of the attempt, which took `duration`; both are
+    /// skipped if `endpoint` is no longer an upstream. Returns the grants of the waiting requests
+    /// that now get a slot.
     std::vector<SlotGrant> releaseSlot(const Endpoint &endpoint, AttemptResult result,
                                        Millis duration, Instant now);
     /// Removes a waiting request from the queue.
@@ -87,7 +88,7 @@
 
     /// Returns whether `endpoint` is still an upstream, with the same epoch and address.
     bool hasEndpoint(const Endpoint &endpoint) const;
-    /// Returns the estimated mean latency of a response over all upstreams, rounded up.
+    /// Returns the estimated latency of a response, as the mean over all upstreams, rounded up.
     Millis expectedLatency() const;
     const ServiceRule &rule() const { return m_rule; }
     std::size_t waitingCount() const { return m_waiting.size(); }
@@ -112,8 +113,7 @@
         SlotRequest request;
     };
 
-    /// Returns the less loaded of two random upstreams with a free slot, or nullptr if none has
-    /// one.
+    /// Returns the less loaded of two random upstreams with a free slot, or nullptr.
     Upstream *chooseUpstream(const SlotRequest &request, Instant now);
     Upstream *lessLoaded(Upstream *left, Upstream *right);
     bool hasFreeSlot(const Upstream &upstream, const SlotRequest &request, bool isLocal,
