--- a/include/oleanderhall/routing/claimledger.h
+++ b/include/oleanderhall/routing/claimstore.h
@@ -12,39 +12,39 @@
 
 namespace oleanderhall {
 
-/// A ClaimRequest asks for the right to send one unrepeatable request. No two requests of a batch
-/// may have the same key.
+/// Asks for the right to send one unrepeatable request. The keys within a batch must be distinct.
 struct ClaimRequest
 {
     TableKey key;
-    std::string bodyHash;
-    std::string token; ///< Unique to this attempt.
+    std::string requestHash; ///< Hash of the method, target and body of the request.
+    std::string token; ///< Unique to this claim attempt.
 };
 
-/// A ClaimHandle is the right to send one request, held by one attempt.
+/// The right to send one request. It belongs to the claim attempt whose token is in the record.
 struct ClaimHandle
 {
     TableKey key;
-    std::uint64_t version = 0;
+    std::uint64_t version = 0; ///< Version of the table row that holds the claim.
     ClaimRecord record;
 };
 
-/// What became of a ClaimRequest.
-using ClaimOutcome = std::variant<ClaimHandle, ReplayAnswer, Refusal>;
+/// The result of a ClaimRequest.
+using ClaimOutcome = std::variant<ClaimHandle, ReplayedResponse, Refusal>;
 
-/// A ClaimLedger keeps claims in the platform's table, so that a request with a key runs at most
-/// once whichever entry hosts it reaches. A handle is given out only for a row that is known to
-/// hold its token; when that can't be known, the request is refused as not run. Calls block on the
-/// table. It has no state of its own and may be used by any thread.
+/// A ClaimStore stores claims in the platform's table, so that a request with an idempotency key is
+/// executed at most once, whichever entry hosts receive it. A handle is returned only when the row
+/// is known to hold the token of the request. If that can't be determined, the request is refused
+/// as not executed. Calls block until the table responds or the call times out. The class is
+/// stateless and may be used from any thread.
 template <Table TableType>
-class ClaimLedger
+class ClaimStore
 {
 public:
-    explicit ClaimLedger(TableType &table)
+    explicit ClaimStore(TableType &table)
         : m_table(table)
     {}
 
-    /// Claims for a batch of requests; the outcomes stand in their order.
+    /// Claims a batch of requests. Returns one outcome per request, in the same order.
     std::vector<ClaimOutcome> claim(const std::vector<ClaimRequest> &requests)
     {
         std::vector<ClaimOutcome> outcomes(requests.size(), unavailable());
@@ -52,9 +52,9 @@
         for (std::size_t index = 0; index < requests.size(); ++index)
             open.push_back(index);
         while (!open.empty()) {
-            const std::vector<std::size_t> taken = tryInsert(requests, open, outcomes);
+            const std::vector<std::size_t> taken = insertOpen(requests, open, outcomes);
             for (const std::size_t index : taken)
-                outcomes[index] = settleTaken(requests[index]);
+                outcomes[index] = resolveExisting(requests[index]);
             std::erase_if(open, [&taken](std::size_t index) {
                 return std::find(taken.begin(), taken.end(), index) != taken.end();
             });
@@ -64,15 +64,16 @@
         return outcomes;
     }
 
-    /// Records how the request of `handle` ended. Returns false when it should be tried again.
-    bool settle(const ClaimHandle &handle, const ClaimRecord &record)
+    /// Writes the final `record` of the request that `handle` belongs to. Returns false when the
+    /// write may not have taken effect and should be retried.
+    bool recordOutcome(const ClaimHandle &handle, const ClaimRecord &record)
     {
         try {
-            m_table.transact({putOf(handle.key, record, handle.version)},
+            m_table.transact({makePut(handle.key, record, handle.version)},
                              record.token + "-" + std::to_string(handle.version + 1));
             return true;
         } catch (const ConditionFailed &) {
-            return true; // An earlier try had its effect.
+            return true; // An earlier attempt at this write has taken effect.
         } catch (const PlatformUnavailable &) {
             return false;
         } catch (const OutcomeUnknown &) {
@@ -80,19 +81,19 @@
         }
     }
 
-    /// Releases the claim of a request that was refused while its claim might still land. Returns
-    /// true when the row is known to hold no open claim of this request.
+    /// Releases the claim of a request that was refused although its write may still take effect.
+    /// Returns true when the row is known to hold no open claim of this request.
     bool releaseIfHeld(const ClaimRequest &request)
     {
         try {
             const auto item = m_table.read(request.key);
             if (!item)
-                return false; // The claim may still land.
+                return false; // The write of the claim may still take effect.
             ClaimRecord record = parseClaim(item->data);
             if (record.token != request.token || record.state != ClaimState::Claimed)
                 return true;
             record.state = ClaimState::Released;
-            return settle({request.key, item->version, record}, record);
+            return recordOutcome({request.key, item->version, record}, record);
         } catch (const PlatformUnavailable &) {
             return false;
         }
@@ -101,34 +102,38 @@
 private:
     static Refusal unavailable()
     {
-        return {RefusalReason::ClaimsUnavailable, Ran::No, Millis(1000)};
+        return {RefusalReason::ClaimsUnavailable, ExecutionStatus::NotExecuted, Millis(1000)};
     }
 
     static ClaimRecord recordFor(const ClaimRequest &request)
     {
-        return {.token = request.token, .bodyHash = request.bodyHash};
+        return {.token = request.token, .requestHash = request.requestHash};
     }
 
-    static TableWrite putOf(const TableKey &key, const ClaimRecord &record, std::uint64_t expected)
+    static TableWrite makePut(const TableKey &key, const ClaimRecord &record,
+                              std::uint64_t expectedVersion)
     {
-        return {
-            .key = key, .expected = expected, .version = expected + 1, .data = encodeClaim(record)};
+        return {.key = key,
+                .expectedVersion = expectedVersion,
+                .version = expectedVersion + 1,
+                .data = encodeClaim(record)};
     }
 
-    /// Inserts a row for each open request. Returns those whose row exists already; the others got
-    /// their outcome, unless some row existed: then none was inserted.
-    std::vector<std::size_t> tryInsert(const std::vector<ClaimRequest> &requests,
-                                       const std::vector<std::size_t> &open,
-                                       std::vector<ClaimOutcome> &outcomes)
+    /// Inserts a row for each open request in one transaction and sets the outcomes. If any of the
+    /// rows exists already, inserts none, leaves the outcomes as they are and returns the indexes
+    /// of the requests whose rows exist.
+    std::vector<std::size_t> insertOpen(const std::vector<ClaimRequest> &requests,
+                                        const std::vector<std::size_t> &open,
+                                        std::vector<ClaimOutcome> &outcomes)
     {
         std::vector<TableWrite> writes;
         writes.reserve(open.size());
         for (const std::size_t index : open) {
             writes.push_back(
-                putOf(requests[index].key, recordFor(requests[index]), TableWrite::kAbsent));
+                makePut(requests[index].key, recordFor(requests[index]), TableWrite::kAbsent));
         }
         try {
-            // The table wants another token for each set of writes.
+            // The table requires a different token for each set of writes.
             m_table.transact(writes,
                              requests[open.front()].token + "-" + std::to_string(open.size()));
             for (const std::size_t index : open)
@@ -140,7 +145,7 @@
                 taken.push_back(open.at(write));
             return taken;
         } catch (const PlatformUnavailable &) {
-            // Refused as they stand in `outcomes`.
+            // The outcomes already hold the refusal.
         } catch (const OutcomeUnknown &) {
             for (const std::size_t index : open)
                 outcomes[index] = readBack(requests[index]);
@@ -148,8 +153,8 @@
         return {};
     }
 
-    /// Decides on a request whose row exists already.
-    ClaimOutcome settleTaken(const ClaimRequest &request)
+    /// Determines the outcome of a request whose row existed when it was inserted.
+    ClaimOutcome resolveExisting(const ClaimRequest &request)
     {
         try {
             const auto item = m_table.read(request.key);
@@ -158,10 +163,10 @@
                 existing = parseClaim(item->data);
             if (existing && isHeldBy(*existing, request))
                 return ClaimHandle{request.key, item->version, *existing};
-            const ClaimVerdict verdict = judgeClaim(existing, request.bodyHash);
+            const ClaimDecision verdict = evaluateClaim(existing, request.requestHash);
             if (const auto *refusal = std::get_if<Refusal>(&verdict))
                 return *refusal;
-            if (const auto *replay = std::get_if<ReplayAnswer>(&verdict))
+            if (const auto *replay = std::get_if<ReplayedResponse>(&verdict))
                 return *replay;
             return replace(request, item ? item->version : TableWrite::kAbsent);
         } catch (const PlatformUnavailable &) {
@@ -169,19 +174,22 @@
         }
     }
 
+    /// Writes a claim of `request` over the row at `version`, or inserts it for kAbsent.
     ClaimOutcome replace(const ClaimRequest &request, std::uint64_t version)
     {
         try {
-            m_table.transact({putOf(request.key, recordFor(request), version)},
+            m_table.transact({makePut(request.key, recordFor(request), version)},
                              request.token + "-again");
             return ClaimHandle{request.key, version + 1, recordFor(request)};
         } catch (const ConditionFailed &) {
-            return Refusal{RefusalReason::DuplicateInProgress, Ran::Unknown, Millis(1000)};
+            return Refusal{RefusalReason::DuplicateInProgress, ExecutionStatus::Unknown,
+                           Millis(1000)};
         } catch (const OutcomeUnknown &) {
             return readBack(request);
         }
     }
 
+    /// Reads the row after a write whose outcome is unknown.
     ClaimOutcome readBack(const ClaimRequest &request)
     {
         try {
@@ -192,7 +200,7 @@
             if (isHeldBy(record, request))
                 return ClaimHandle{request.key, item->version, record};
         } catch (const PlatformUnavailable &) {
-            // Refused below: whether the claim was taken can't be known now.
+            // Refused below, because it is unknown whether the claim was stored.
         }
         return unavailable();
     }
--- a/include/oleanderhall/routing/refusal.h
+++ b/include/oleanderhall/routing/refusal.h
@@ -1,19 +1,19 @@
 #pragma once
 
 #include "oleanderhall/core/time.h"
-#include "oleanderhall/routing/ran.h"
+#include "oleanderhall/routing/executionstatus.h"
 #include "oleanderhall/routing/refusalreason.h"
 
 #include <optional>
 
 namespace oleanderhall {
 
-/// A Refusal is the final answer to a request that got none from an upstream.
+/// A Refusal is the final reply to a request for which no response of an upstream is returned.
 struct Refusal
 {
     RefusalReason reason = RefusalReason::BadRequest;
-    Ran ran = Ran::No;
-    std::optional<Millis> retryAfter; ///< Set only where coming back can help.
+    ExecutionStatus execution = ExecutionStatus::NotExecuted;
+    std::optional<Millis> retryAfter; ///< Set only if a later retry may succeed.
 
     friend bool operator==(const Refusal &, const Refusal &) = default;
 };
--- a/src/peer/peerclient.cpp
+++ b/src/peer/peerclient.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxEntries = 200;
+constexpr std::uint32_t kMaxEntriesPerPull = 200;
 
 std::unique_ptr<peer::Peer::Stub> stubFor(const std::string &address)
 {
     grpc::ChannelArguments arguments;
-    // A channel of its own, so that a connection gone silent costs this call only.
+    // Channels don't share connections, so that an unresponsive connection fails only this call.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     return peer::Peer::NewStub(
         grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments));
@@ -40,17 +40,17 @@
     , m_timeout(timeout)
 {}
 
-PeerEntries PeerClient::pull(Sequence after)
+PullResult PeerClient::pull(Sequence after)
 {
     const auto stub = stubFor(m_address);
     grpc::ClientContext context;
     setDeadline(context, m_timeout);
     peer::PullRequest request;
     request.set_sequence(after.value);
-    request.set_limit(kMaxEntries);
+    request.set_limit(kMaxEntriesPerPull);
     peer::PullReply reply;
     throwUnlessOk(stub->Pull(&context, request, &reply));
-    PeerEntries result;
+    PullResult result;
     result.sequence = {reply.sequence()};
     result.viewAge = Millis(reply.view_age_ms());
     result.needsSnapshot = reply.needs_snapshot();
@@ -90,7 +90,8 @@
                     waves.push_back(parseWaveRow(wave));
             }
             if (reply.hosts_size() != reply.host_sequences_size())
-                throw PlatformUnavailable("peer: a snapshot whose hosts don't match");
+                throw PlatformUnavailable(
+                    "peer: the snapshot's hosts and host sequences differ in number");
             for (int index = 0; index < reply.hosts_size(); ++index)
                 hosts.push_back(parseHostRow(reply.hosts(index), {reply.host_sequences(index)}));
             request.set_after_host(reply.next_after_host());
--- a/src/peer/peerserver.cpp
+++ b/src/peer/peerserver.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxEntries = 1000;
-constexpr int kHostsPerPart = 500;
+constexpr std::uint32_t kMaxEntriesPerReply = 1000;
+constexpr int kHostsPerPage = 500;
 constexpr int kMaxRequestBytes = 4096;
 constexpr int kMaxThreads = 6;
 
@@ -31,10 +31,10 @@
     grpc::Status Pull(grpc::ServerContext *, const peer::PullRequest *request,
                       peer::PullReply *reply) override
     {
-        // The age is read first: the entries read after it can only be newer.
+        // The age is read before the entries, so that it never understates how old they are.
         reply->set_view_age_ms(static_cast<std::uint64_t>(m_source.viewAge().count()));
         std::vector<std::string> entries;
-        const std::size_t limit = std::min(request->limit(), kMaxEntries);
+        const std::size_t limit = std::min(request->limit(), kMaxEntriesPerReply);
         if (!m_source.entriesAfter({request->sequence()}, limit, entries))
             reply->set_needs_snapshot(true);
         for (std::string &entry : entries)
@@ -48,15 +48,15 @@
                           peer::SnapshotReply *reply) override
     {
         reply->set_view_age_ms(static_cast<std::uint64_t>(m_source.viewAge().count()));
-        m_source.withState([&](const FleetState &state) { fill(state, *request, *reply); });
+        m_source.withState([&](const FleetState &state) { fillSnapshot(state, *request, *reply); });
         if (reply->sequence() == 0)
             return {grpc::StatusCode::UNAVAILABLE, "no state yet"};
         return grpc::Status::OK;
     }
 
 private:
-    static void fill(const FleetState &state, const peer::SnapshotRequest &request,
-                     peer::SnapshotReply &reply)
+    static void fillSnapshot(const FleetState &state, const peer::SnapshotRequest &request,
+                             peer::SnapshotReply &reply)
     {
         reply.set_sequence(state.sequence().value);
         reply.set_config_version(state.configVersion().value);
@@ -70,7 +70,7 @@
                 return item.first.name() > request.after_host();
             });
         }
-        for (int count = 0; host != state.hosts().end() && count < kHostsPerPart; ++count, ++host) {
+        for (int count = 0; host != state.hosts().end() && count < kHostsPerPage; ++count, ++host) {
             reply.add_hosts(toJson(host->second).serialize());
             reply.add_host_sequences(host->second.changedAt.value);
             reply.set_next_after_host(host->first.name());
@@ -82,14 +82,14 @@
     PeerSource m_source;
 };
 
-struct PeerServer::Running
+struct PeerServer::GrpcServer
 {
     std::unique_ptr<grpc::Server> server;
 };
 
 PeerServer::PeerServer(const std::string &address, PeerSource source)
     : m_service(std::make_unique<Service>(std::move(source)))
-    , m_running(new Running)
+    , m_grpcServer(new GrpcServer)
 {
     grpc::ResourceQuota quota("peers");
     quota.SetMaxThreads(kMaxThreads);
@@ -102,14 +102,14 @@
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddListeningPort(address, grpc::InsecureServerCredentials());
     builder.RegisterService(m_service.get());
-    m_running->server = builder.BuildAndStart();
-    if (!m_running->server)
+    m_grpcServer->server = builder.BuildAndStart();
+    if (!m_grpcServer->server)
         throw std::runtime_error("can't listen for peers on " + address);
 }
 
 PeerServer::~PeerServer()
 {
-    m_running->server->Shutdown(std::chrono::system_clock::now() + Millis(500));
+    m_grpcServer->server->Shutdown(std::chrono::system_clock::now() + Millis(500));
 }
 
 } // namespace oleanderhall
--- a/src/platform/httpcall.cpp
+++ b/src/platform/httpcall.cpp
@@ -16,7 +16,7 @@
 
 constexpr int kOk = 200;
 
-bool wasNothingSent(const std::error_code &code)
+bool failedBeforeSending(const std::error_code &code)
 {
     return code == std::errc::connection_refused || code == std::errc::host_unreachable
         || code == std::errc::network_unreachable;
@@ -39,7 +39,7 @@
     }
 }
 
-HttpAnswer callThrough(const std::unique_ptr<http_client> &client, const HttpCall &call)
+HttpAnswer callWithClient(const std::unique_ptr<http_client> &client, const HttpCall &call)
 {
     try {
         web::http::http_request request(call.method);
@@ -48,11 +48,11 @@
             request.headers().add(name, value);
         if (call.body)
             request.set_body(*call.body, "application/x-amz-json-1.0");
-        web::http::http_response response = client->request(request).get();
-        return {response.status_code(), response.extract_utf8string(true).get()};
+        web::http::http_response httpResponse = client->request(request).get();
+        return {httpResponse.status_code(), httpResponse.extract_utf8string(true).get()};
     } catch (const web::http::http_exception &error) {
         const std::string what = call.method + " " + call.url + ": " + error.what();
-        if (wasNothingSent(error.error_code()))
+        if (failedBeforeSending(error.error_code()))
             throw PlatformUnavailable(what);
         throw OutcomeUnknown(what);
     }
@@ -60,15 +60,15 @@
 
 } // namespace
 
-void requireOk(const HttpAnswer &answer, const std::string &url)
+void requireOk(const HttpAnswer &response, const std::string &url)
 {
-    if (answer.status != kOk)
-        throw PlatformUnavailable(url + ": status " + std::to_string(answer.status));
+    if (response.status != kOk)
+        throw PlatformUnavailable(url + ": status " + std::to_string(response.status));
 }
 
 HttpAnswer callPlatform(const HttpCall &call)
 {
-    return callThrough(clientFor(call), call);
+    return callWithClient(clientFor(call), call);
 }
 
 std::string fetchFromPlatform(const HttpCall &call)
@@ -78,9 +78,9 @@
     try {
         if (!client)
             client = clientFor(call);
-        HttpAnswer answer = callThrough(client, call);
-        requireOk(answer, call.url);
-        return std::move(answer.body);
+        HttpAnswer response = callWithClient(client, call);
+        requireOk(response, call.url);
+        return std::move(response.body);
     } catch (const OutcomeUnknown &error) {
         client.reset();
         throw PlatformUnavailable(error.what());
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr std::int64_t kLargest = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxInteger = std::numeric_limits<std::int64_t>::max();
 constexpr Millis kTaskLease = std::chrono::hours(1);
 
-value taskOf(const ServiceRule &rule, const std::string &address)
+value taskToJson(const ServiceRule &rule, const std::string &address)
 {
     value task = value::object();
     task["service"] = value::string(rule.id.name());
@@ -40,7 +40,7 @@
     for (const ServiceId service : command.services) {
         const auto rule = config.services.find(service);
         if (rule != config.services.end() && host != config.hosts.end())
-            body["tasks"][index++] = taskOf(rule->second, host->second.address);
+            body["tasks"][index++] = taskToJson(rule->second, host->second.address);
     }
     return body;
 }
@@ -52,7 +52,7 @@
     , m_timeout(timeout)
 {}
 
-std::string WorkerClient::bodyOf(const WorkerCommand &command, const Register &config)
+std::string WorkerClient::commandBody(const WorkerCommand &command, const Register &config)
 {
     return commandToJson(command, config).serialize();
 }
@@ -60,13 +60,13 @@
 void WorkerClient::send(const WorkerCommand &command, const std::string &body)
 {
     const bool isReboot = command.kind == WorkerCommand::Kind::Reboot;
-    const HttpAnswer answer = callPlatform(
+    const HttpAnswer response = callPlatform(
         {.method = isReboot ? "POST" : "PUT",
          .url = urlOf(command.host) + (isReboot ? "/reboot" : "/tasks"),
          .headers = {},
          .body = body,
          .timeout = m_timeout});
-    requireOk(answer, urlOf(command.host));
+    requireOk(response, urlOf(command.host));
 }
 
 HostObservation WorkerClient::observe(HostId host)
@@ -84,18 +84,19 @@
         throw PlatformUnavailable(error.what());
     }
     const JsonCursor cursor(json, "worker", "", findings);
-    HostObservation seen{.health = Health::Healthy};
-    seen.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kLargest))};
-    seen.bootEpoch = {static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kLargest))};
-    cursor.each("tasks", true, [&seen](const JsonCursor &task) {
-        ++seen.activeInstances;
+    HostObservation observation{.health = Health::Healthy};
+    observation.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kMaxInteger))};
+    observation.bootEpoch = {
+        static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kMaxInteger))};
+    cursor.each("tasks", true, [&observation](const JsonCursor &task) {
+        ++observation.activeInstances;
         const std::string service = task.text("service");
         if (task.text("state") == "running")
-            seen.running.push_back(ServiceId(service));
+            observation.running.push_back(ServiceId(service));
     });
     if (!findings.empty())
-        throw PlatformUnavailable("the worker's answer is malformed: " + findings.text());
-    return seen;
+        throw PlatformUnavailable("the worker's response is malformed: " + findings.text());
+    return observation;
 }
 
 std::string WorkerClient::urlOf(HostId host) const
--- a/tests/routing/claimledger_test.cpp
+++ b/tests/routing/claimstore_test.cpp
@@ -1,4 +1,4 @@
-#include "oleanderhall/routing/claimledger.h"
+#include "oleanderhall/routing/claimstore.h"
 
 #include "../support/memorytable.h"
 
@@ -21,11 +21,11 @@
     MAKE_MOCK1(query, TablePage(const TableQuery &));
 };
 
-class ClaimLedgerTest
+class ClaimStoreTest
 {
 protected:
     MemoryTable table;
-    ClaimLedger<MemoryTable> ledger{table};
+    ClaimStore<MemoryTable> store{table};
     int tokens = 0;
 
     ClaimRequest request(const std::string &key, const std::string &hash = "hash")
@@ -33,7 +33,7 @@
         return {{"claim-s", key}, hash, "token" + std::to_string(++tokens)};
     }
 
-    ClaimOutcome claimOne(const ClaimRequest &request) { return ledger.claim({request}).front(); }
+    ClaimOutcome claimOne(const ClaimRequest &request) { return store.claim({request}).front(); }
 
     static RefusalReason reasonOf(const ClaimOutcome &outcome)
     {
@@ -43,93 +43,92 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a key claimed twice: the second is a duplicate")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a key claimed twice: the second is a duplicate")
 {
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
     const ClaimOutcome second = claimOne(request("k"));
     CHECK(reasonOf(second) == RefusalReason::DuplicateInProgress);
-    CHECK(std::get<Refusal>(second).ran == Ran::Unknown);
+    CHECK(std::get<Refusal>(second).execution == ExecutionStatus::Unknown);
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a key with another body: is refused")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a key with another body: is refused")
 {
     claimOne(request("k", "one"));
     CHECK(reasonOf(claimOne(request("k", "two"))) == RefusalReason::KeyReused);
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a finished request: its answer is replayed")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a finished request: its answer is replayed")
 {
     const auto handle = std::get<ClaimHandle>(claimOne(request("k")));
     ClaimRecord record = handle.record;
     record.state = ClaimState::Done;
     record.status = 201;
     record.body = "the answer";
-    record.keepsBody = true;
-    CHECK(ledger.settle(handle, record));
-    CHECK(std::get<ReplayAnswer>(claimOne(request("k"))).body == "the answer");
+    record.hasStoredBody = true;
+    CHECK(store.recordOutcome(handle, record));
+    CHECK(std::get<ReplayedResponse>(claimOne(request("k"))).body == "the answer");
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a released key: may be claimed again")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a released key: may be claimed again")
 {
     const auto handle = std::get<ClaimHandle>(claimOne(request("k")));
     ClaimRecord record = handle.record;
     record.state = ClaimState::Released;
-    CHECK(ledger.settle(handle, record));
+    CHECK(store.recordOutcome(handle, record));
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: one duplicate in a batch: the others are claimed")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: one duplicate in a batch: the others are claimed")
 {
     claimOne(request("b"));
-    const auto outcomes = ledger.claim({request("a"), request("b"), request("c")});
+    const auto outcomes = store.claim({request("a"), request("b"), request("c")});
     CHECK(std::holds_alternative<ClaimHandle>(outcomes[0]));
     CHECK(reasonOf(outcomes[1]) == RefusalReason::DuplicateInProgress);
     CHECK(std::holds_alternative<ClaimHandle>(outcomes[2]));
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest,
-                 "ClaimLedger: the answer is lost, the claim was taken: it is held")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: the answer is lost, the claim was taken: it is held")
 {
-    table.faults = {WriteFault::LostAnswer};
+    table.faults = {WriteFault::ResponseLost};
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
-TEST_CASE_METHOD(ClaimLedgerTest, "ClaimLedger: a claim that lands late: is refused, then released")
+TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a claim that lands late: is refused, then released")
 {
-    table.faults = {WriteFault::LateEffect};
+    table.faults = {WriteFault::DelayedEffect};
     const ClaimRequest late = request("k");
     CHECK(reasonOf(claimOne(late)) == RefusalReason::ClaimsUnavailable);
-    CHECK_FALSE(ledger.releaseIfHeld(late));
-    table.landLateWrites();
-    CHECK(ledger.releaseIfHeld(late));
+    CHECK_FALSE(store.releaseIfHeld(late));
+    table.applyDelayedWrites();
+    CHECK(store.releaseIfHeld(late));
     CHECK(std::holds_alternative<ClaimHandle>(claimOne(request("k"))));
 }
 
-TEST_CASE("ClaimLedger: the table is down: refused as not run, and nothing is read")
+TEST_CASE("ClaimStore: the table is down: refused as not run, and nothing is read")
 {
     MockTable table;
-    ClaimLedger<MockTable> ledger(table);
+    ClaimStore<MockTable> store(table);
     REQUIRE_CALL(table, transact(trompeloeil::_, trompeloeil::_))
         .THROW(PlatformUnavailable("down"));
     FORBID_CALL(table, read(trompeloeil::_));
-    const auto outcome = ledger.claim({{{"claim-s", "k"}, "hash", "token"}}).front();
+    const auto outcome = store.claim({{{"claim-s", "k"}, "hash", "token"}}).front();
     CHECK(std::get<Refusal>(outcome)
-          == Refusal{RefusalReason::ClaimsUnavailable, Ran::No, Millis(1000)});
+          == Refusal{RefusalReason::ClaimsUnavailable, ExecutionStatus::NotExecuted, Millis(1000)});
 }
 
-TEST_CASE("ClaimLedger: callers retry through several entry hosts under faults: a key runs once")
+TEST_CASE("ClaimStore: callers retry through several entry hosts under faults: a key runs once")
 {
     rc::prop("at most one run for each key, and 'not run' is true", [] {
         MemoryTable table;
-        ClaimLedger<MemoryTable> ledger(table);
+        ClaimStore<MemoryTable> store(table);
         std::map<std::string, int> runs;
         std::vector<ClaimRequest> refused;
         const int steps = *rc::gen::inRange(1, 60);
         for (int step = 0; step < steps; ++step) {
             const auto faults = *rc::gen::container<std::deque<WriteFault>>(
                 2,
-                rc::gen::element(WriteFault::None, WriteFault::None, WriteFault::LostAnswer,
-                                 WriteFault::LateEffect, WriteFault::Down));
+                rc::gen::element(WriteFault::None, WriteFault::None, WriteFault::ResponseLost,
+                                 WriteFault::DelayedEffect, WriteFault::Unavailable));
             table.faults = faults;
             table.readsFail = *rc::gen::inRange(0, 6) == 0;
             std::vector<ClaimRequest> batch;
@@ -139,7 +138,7 @@
             }
             if (batch.empty())
                 continue;
-            const auto outcomes = ledger.claim(batch);
+            const auto outcomes = store.claim(batch);
             table.readsFail = false;
             for (std::size_t index = 0; index < batch.size(); ++index) {
                 const auto *handle = std::get_if<ClaimHandle>(&outcomes[index]);
@@ -147,18 +146,19 @@
                     refused.push_back(batch[index]);
                     continue;
                 }
-                // The holder is killed, refuses before it sends, or runs the request.
+                // The holder crashes after it has sent the request (0), releases the claim before
+                // it sends the request (1), or sends it and records the outcome (2).
                 const int fate = *rc::gen::inRange(0, 3);
                 ClaimRecord record = handle->record;
                 record.state = fate == 1 ? ClaimState::Released : ClaimState::Done;
                 runs[batch[index].key.row] += fate == 1 ? 0 : 1;
                 if (fate != 0)
-                    ledger.settle(*handle, record);
+                    store.recordOutcome(*handle, record);
             }
             if (*rc::gen::inRange(0, 3) == 0)
-                table.landLateWrites();
+                table.applyDelayedWrites();
             for (const ClaimRequest &request : refused)
-                ledger.releaseIfHeld(request);
+                store.releaseIfHeld(request);
             refused.clear();
         }
         for (const auto &[key, count] : runs)
--- a/tests/support/memorytable.h
+++ b/tests/support/memorytable.h
@@ -10,15 +10,21 @@
 
 namespace oleanderhall::test {
 
-/// What a MemoryTable does with the next calls, one of the list for each write.
-enum class WriteFault { None, Down, LostAnswer, LateEffect, NoEffectUnknown };
+/// The fault that MemoryTable::transact() simulates.
+enum class WriteFault {
+    None,
+    Unavailable, ///< Reports that the table is unavailable and writes nothing.
+    ResponseLost, ///< Applies the writes, but reports that the outcome is unknown.
+    DelayedEffect, ///< Reports that the outcome is unknown; applyDelayedWrites() writes later.
+    UnknownWithoutEffect ///< Reports that the outcome is unknown and never writes.
+};
 
-/// A MemoryTable is a transactional table in memory whose writes fail as a test says.
+/// A MemoryTable is an in-memory transactional table with fault injection.
 class MemoryTable
 {
 public:
-    std::deque<WriteFault> faults; ///< Consumed by writes, front first; empty means none.
-    bool readsFail = false;
+    std::deque<WriteFault> faults; ///< Each transact() takes the front one; empty means None.
+    bool readsFail = false; ///< Makes read() and query() throw PlatformUnavailable.
 
     void transact(const std::vector<TableWrite> &writes, const std::string &)
     {
@@ -30,16 +36,16 @@
         switch (fault) {
         case WriteFault::None:
             return write(writes);
-        case WriteFault::Down:
+        case WriteFault::Unavailable:
             throw PlatformUnavailable("down");
-        case WriteFault::LostAnswer:
+        case WriteFault::ResponseLost:
             tryWrite(writes);
             throw OutcomeUnknown("lost");
-        case WriteFault::LateEffect:
-            m_late.push_back(writes);
+        case WriteFault::DelayedEffect:
+            m_delayedWrites.push_back(writes);
             throw OutcomeUnknown("late");
-        case WriteFault::NoEffectUnknown:
-            throw OutcomeUnknown("nothing happened");
+        case WriteFault::UnknownWithoutEffect:
+            throw OutcomeUnknown("no effect");
         }
     }
 
@@ -67,12 +73,12 @@
         return page;
     }
 
-    /// Lets every delayed write take its effect now.
-    void landLateWrites()
+    /// Applies the writes that DelayedEffect held back. Those whose condition fails are dropped.
+    void applyDelayedWrites()
     {
-        for (const auto &writes : m_late)
+        for (const auto &writes : m_delayedWrites)
             tryWrite(writes);
-        m_late.clear();
+        m_delayedWrites.clear();
     }
 
 private:
@@ -81,7 +87,7 @@
         try {
             write(writes);
         } catch (const ConditionFailed &) {
-            // A condition failed; nobody hears of it.
+            // The caller is only told that the outcome is unknown.
         }
     }
 
@@ -91,7 +97,7 @@
         for (std::size_t index = 0; index < writes.size(); ++index) {
             const auto found = m_items.find(writes[index].key);
             const std::uint64_t version = found == m_items.end() ? 0 : found->second.version;
-            if (writes[index].expected && *writes[index].expected != version)
+            if (writes[index].expectedVersion && *writes[index].expectedVersion != version)
                 failed.push_back(index);
         }
         if (!failed.empty())
@@ -105,10 +111,10 @@
     }
 
     std::map<TableKey, TableItem> m_items;
-    std::vector<std::vector<TableWrite>> m_late;
+    std::vector<std::vector<TableWrite>> m_delayedWrites;
 };
 
-/// A MemoryStore keeps objects in memory.
+/// A MemoryStore is an in-memory object store.
 class MemoryStore
 {
 public:
