--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -150,7 +150,7 @@
                         .zone = ZoneId("zone-1"),
                         .peerAddress = "10.0.0.1:8082",
                         .incarnation = "1234567890-1234567890",
-                        .beat = 100000,
+                        .heartbeatCount = 100000,
                         .acknowledged = {1000000},
                         .config = {10000}};
     std::cout
--- a/include/oleanderhall/core/finding.h
+++ b/include/oleanderhall/core/finding.h
@@ -9,14 +9,14 @@
 struct Finding
 {
     std::string file;
-    std::string place;
+    std::string location;
     std::string problem;
     std::string expected;
 
     /// Returns the finding as one line of text for people.
     std::string text() const
     {
-        return file + ":" + place + ": " + problem + "; expected " + expected;
+        return file + ":" + location + ": " + problem + "; expected " + expected;
     }
     friend bool operator==(const Finding &, const Finding &) = default;
 };
--- a/include/oleanderhall/core/jsoncursor.h
+++ b/include/oleanderhall/core/jsoncursor.h
@@ -33,17 +33,18 @@
                           std::int64_t fallback) const;
     /// Calls `visit` with a cursor for each element of the array member `key`. The member may be
     /// missing only when `required` is false.
-    void each(std::string_view key, bool required,
-              const std::function<void(const JsonCursor &)> &visit) const;
+    void forEach(std::string_view key, bool required,
+                 const std::function<void(const JsonCursor &)> &visit) const;
     /// Calls `visit` with a cursor for the object member `key` when there is one.
-    void with(std::string_view key, const std::function<void(const JsonCursor &)> &visit) const;
+    void ifPresent(std::string_view key,
+                   const std::function<void(const JsonCursor &)> &visit) const;
     /// Records a finding for every member that is not named in `known` or stands twice.
     void allowOnly(std::initializer_list<std::string_view> known) const;
     /// Records a finding at the member `key` of this value.
     void report(std::string_view key, std::string problem, std::string expected) const;
 
     const web::json::value &value() const { return m_value; }
-    const std::string &place() const { return m_place; }
+    const std::string &location() const { return m_location; }
 
     static constexpr std::size_t kMaxNameLength = 256; // bytes
 
@@ -52,7 +53,7 @@
 
     const web::json::value &m_value;
     std::string m_file;
-    std::string m_place;
+    std::string m_location;
     FindingList &m_findings;
 };
 
--- a/include/oleanderhall/jobs/fleetconfig.h
+++ b/include/oleanderhall/jobs/fleetconfig.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "oleanderhall/jobs/queuerule.h"
+#include "oleanderhall/jobs/queueconfig.h"
 
 #include <optional>
 #include <string_view>
@@ -20,15 +20,15 @@
 struct FleetConfig
 {
     ConfigVersion version;
-    std::vector<QueueRule> queues;
+    std::vector<QueueConfig> queues;
     std::vector<PoolConfig> pools;
 
     /// Returns the queue whose host matches and whose prefix is the longest that `path` begins
     /// with, or nothing.
-    const QueueRule *find(std::string_view host, std::string_view path) const
+    const QueueConfig *find(std::string_view host, std::string_view path) const
     {
-        const QueueRule *best = nullptr;
-        for (const QueueRule &queue : queues) {
+        const QueueConfig *best = nullptr;
+        for (const QueueConfig &queue : queues) {
             if (queue.host == host && path.substr(0, queue.prefix.size()) == queue.prefix
                 && (!best || queue.prefix.size() > best->prefix.size()))
                 best = &queue;
--- a/include/oleanderhall/jobs/jobspec.h
+++ b/include/oleanderhall/jobs/jobspec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "oleanderhall/jobs/queuerule.h"
+#include "oleanderhall/jobs/queueconfig.h"
 #include "oleanderhall/jobs/stepspec.h"
 #include "oleanderhall/jobs/taskid.h"
 
@@ -14,7 +14,7 @@
 struct JobSpec
 {
     JobId id;
-    QueueRule queue;
+    QueueConfig queue;
     ConfigVersion config; ///< Of the configuration that the job was accepted under.
     std::string payload; ///< Handed to every task unread.
     std::vector<StepSpec> steps;
--- a/include/oleanderhall/jobs/queuerule.h
+++ b/include/oleanderhall/jobs/queueconfig.h
@@ -9,15 +9,15 @@
 namespace oleanderhall {
 
 /// How a queue's policy service is asked which workers may run a step.
-struct AdviceRule
+struct AdviceConfig
 {
     Millis decisionTime{0};
     Millis timePerWorker{0};
     Millis ticketLifetime{0};
 };
 
-/// A QueueRule is one queue of the configuration: where callers reach it and how its jobs run.
-struct QueueRule
+/// A QueueConfig is one queue of the configuration: where callers reach it and how its jobs run.
+struct QueueConfig
 {
     std::string name;
     std::string host; ///< The Host header that callers send.
@@ -28,7 +28,7 @@
     double stretch = 1; ///< The time objective is this many times the longest chain of work...
     Millis allowance{0}; ///< ...and this much more.
     Millis timeout{0}; ///< For one call of a caller.
-    std::optional<AdviceRule> advice;
+    std::optional<AdviceConfig> advice;
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/jobs/stepspec.h
+++ b/include/oleanderhall/jobs/stepspec.h
@@ -18,15 +18,15 @@
     bool savesProgress = false; ///< Tasks write checkpoints and can resume from one.
     bool isGang = false; ///< Tasks work only while all of them run.
     bool needsOneRack = false; ///< Tasks are slower when they run on more than one rack.
-    bool mayRunTwice = false; ///< Copies of a task may run in parallel.
+    bool allowsSpeculation = false; ///< Copies of a task may run in parallel.
     bool isLongRunning = false; ///< Tasks run until the job is cancelled.
-    bool fills = false; ///< Tasks use only the cores that others leave idle.
+    bool usesIdleCores = false; ///< Tasks use only the cores that others leave idle.
     std::string requiredLabel; ///< A label that the worker must have; empty for none.
     std::string dataRack; ///< The rack where the data lies; empty for none.
     int maxPerWorker = 0; ///< Tasks of one occurrence on one worker; 0 for no limit.
     std::string image;
     Millis latencyTarget{0}; ///< For the tail of a serving task's answers; 0 for none.
-    int mayMiss = -1; ///< Tasks that maintenance may take away at once; -1 for no budget.
+    int maxDisrupted = -1; ///< Tasks that maintenance may take away at once; -1 for no budget.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/maintenance/hostorder.h
+++ b/include/oleanderhall/maintenance/hostcommand.h
@@ -9,7 +9,7 @@
 
 /// An order to one host: a move to another pool, or its maintenance as part of a wave. Either ends
 /// everything that runs on the host.
-struct HostOrder
+struct HostCommand
 {
     HostId host;
     ServiceId pool; ///< Of a move: the new pool. Empty for maintenance.
--- a/include/oleanderhall/maintenance/hostinfo.h
+++ b/include/oleanderhall/maintenance/hostinfo.h
@@ -20,7 +20,7 @@
 };
 
 /// What came of an order to a host.
-enum class HostOrderResult {
+enum class HostCommandResult {
     Done, ///< Carried out now or before: whatever ran on the host has ended.
     Busy, ///< The host is not up, or leaves.
     NotOfWave,
--- a/include/oleanderhall/maintenance/orderedlives.h
+++ b/include/oleanderhall/maintenance/workerendverifier.h
@@ -8,11 +8,11 @@
 
 namespace oleanderhall {
 
-/// OrderedLives tells whether an order to a host that the platform calls done has ended the worker
-/// that this owner knew of there. An order that an earlier owner gave is called done, too, when it
-/// is given again; then the worker is a later life and goes on. The host's entry in a list that was
-/// asked for after the answer shows which it is.
-class OrderedLives
+/// WorkerEndVerifier tells whether an order to a host that the platform calls done has ended the
+/// worker that this owner knew of there. An order that an earlier owner gave is called done, too,
+/// when it is given again; then the worker is a later life and goes on. The host's entry in a list
+/// that was asked for after the answer shows which it is.
+class WorkerEndVerifier
 {
 public:
     struct Verdict
@@ -23,19 +23,19 @@
     };
 
     /// The order to `host`, on which `worker` ran, was answered as done at `answered`.
-    void orderDone(HostId host, WorkerId worker, Instant answered);
+    void commandDone(HostId host, WorkerId worker, Instant answered);
     /// Takes a whole list of hosts that was asked for at `asked`. Returns what it tells of the
     /// workers that are in question, and forgets them.
-    std::vector<Verdict> judge(const std::vector<HostInfo> &hosts, Instant asked);
+    std::vector<Verdict> verify(const std::vector<HostInfo> &hosts, Instant requested);
 
 private:
-    struct Question
+    struct PendingCheck
     {
         WorkerId worker;
         Instant answered;
     };
 
-    std::map<HostId, Question> m_questions;
+    std::map<HostId, PendingCheck> m_pendingChecks;
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/membership/memberrow.h
+++ b/include/oleanderhall/membership/memberrow.h
@@ -14,7 +14,7 @@
     ZoneId zone;
     std::string peerAddress; ///< IP number and port of its side for other entry hosts.
     std::string incarnation; ///< Differs after each start.
-    std::uint64_t beat = 0; ///< Grows with each heartbeat.
+    std::uint64_t heartbeatCount = 0; ///< Grows with each heartbeat.
     Sequence acknowledged; ///< It dispatches only by views at least this new.
     ConfigVersion config; ///< The configuration in force on it.
     bool leaving = false; ///< It is in a planned stop.
--- a/include/oleanderhall/membership/membertable.h
+++ b/include/oleanderhall/membership/membertable.h
@@ -25,14 +25,14 @@
     void update(const std::vector<MemberRow> &rows, Sequence seenAt, Instant now);
 
     /// Returns the entry hosts that may own control work: live and not leaving.
-    std::vector<EntryId> owners(Instant now) const;
+    std::vector<EntryId> ownerCandidates(Instant now) const;
     /// Returns the entry hosts that send heartbeats, leaving ones included.
     std::vector<MemberRow> live(Instant now) const;
     /// Returns every row as last read, however old.
     std::vector<MemberRow> all() const;
     std::vector<EntryObservation> observations(Instant now) const;
     /// Returns the ids whose rows have not changed for `age`.
-    std::vector<EntryId> silentFor(Millis age, Instant now) const;
+    std::vector<EntryId> unchangedFor(Millis age, Instant now) const;
     Sequence seenAt() const { return m_seenAt; }
     std::size_t size() const { return m_members.size(); }
 
@@ -43,7 +43,7 @@
         Instant changed;
     };
 
-    bool hasLapsed(const Member &member, Instant now) const;
+    bool hasExpired(const Member &member, Instant now) const;
 
     Millis m_base;
     Millis m_perMember;
--- a/include/oleanderhall/ownership/ownership.h
+++ b/include/oleanderhall/ownership/ownership.h
@@ -20,7 +20,7 @@
 
 /// Of a core: a process with less is weak, whatever the others have. One owner took up to 0.15 of a
 /// core on 349 hosts (docs/CAPACITY.md).
-inline constexpr double kStrongShare = 0.2;
+inline constexpr double kSufficientShare = 0.2;
 
 /// Limits of ownership. Each is the project's own.
 struct OwnershipSettings
@@ -29,25 +29,25 @@
     Millis lease{2000};
     /// The owner stops giving orders this long before others may take over.
     Millis margin{250};
-    Millis renewEvery{500};
+    Millis renewInterval{500};
     /// The owner extends leases of running tasks this long after its last renewal. With the
     /// workers' own lease it bounds what an outage of the table ends, and what a new owner waits
     /// for where it can't look.
-    Millis extension{3500};
-    Millis retry{150}; ///< After a failed renewal or take-over.
+    Millis leaseExtensionTime{3500};
+    Millis retryDelay{150}; ///< After a failed renewal or take-over.
     Millis jitter{0}; ///< Added to `lease` before taking over, so that not all try at once.
     double processorShare = 1; ///< This process's, in cores.
     /// How much longer a process waits that has less processor time than the last owner had. Well
     /// over the jitter, so that any process as strong as the last owner comes first; a fleet that
     /// a weak owner decides for loses more than this.
-    Millis weakerDelay{1500};
+    Millis belowOwnerDelay{1500};
     /// The same for a weak process where the last owner was weak, too: as long as the jitter may
     /// be.
-    Millis weakDelay{300};
+    Millis lowShareDelay{300};
     /// The owner's silence counts only while this process itself hears from the table. A longer
     /// pause between two answers than this is one without contact: over the wait of one read that
     /// finds nothing new, and the time for it.
-    Millis contactGap{1600};
+    Millis maxContactGap{1600};
 };
 
 /// Ownership decides when this process may act as the owner, renew or take over. It does no I/O.
@@ -60,49 +60,49 @@
 
     enum class Step { None, TakeOver, Renew };
     /// Returns what to send now. Each step must be answered before the next is returned.
-    Step next(Instant now);
+    Step nextStep(Instant now);
     /// Takes the term's and the heartbeat's rows, as just read.
-    void seen(const TermRecord &term, std::uint64_t beatVersion, Instant now);
+    void recordsRead(const TermRecord &term, std::uint64_t beatVersion, Instant now);
     /// `version` is the transaction's; meaningful when `isDone`.
     void takeOverAnswered(bool isDone, std::uint64_t version, Instant sent, Instant now);
     /// `isLost`: the term's row has changed, thus another process owns.
     void renewAnswered(bool isDone, bool isLost, std::uint64_t version, Instant sent, Instant now);
     /// Gives ownership up, as for a planned stop.
-    void resign() { m_mayOwn = false; }
+    void resign() { m_isEligible = false; }
 
     bool isOwner() const { return m_isOwner; }
     /// Returns whether orders may be given.
-    bool mayAct(Instant now) const
+    bool maySendCommands(Instant now) const
     {
-        return m_isOwner && now < m_renewed + m_settings.lease - m_settings.margin;
+        return m_isOwner && now < m_lastRenewal + m_settings.lease - m_settings.margin;
     }
     /// Returns whether leases of running tasks may be extended.
-    bool mayExtend(Instant now) const
+    bool mayExtendLeases(Instant now) const
     {
-        return m_isOwner && now < m_renewed + m_settings.extension;
+        return m_isOwner && now < m_lastRenewal + m_settings.leaseExtensionTime;
     }
     const TermRecord &term() const { return m_term; }
-    std::uint64_t beatVersion() const { return m_beatVersion; }
+    std::uint64_t heartbeatVersion() const { return m_heartbeatVersion; }
     /// Returns whether the owner's heartbeat was seen within its lease.
-    bool isOwnerAlive(Instant now) const { return now - m_changed <= m_settings.lease; }
+    bool isOwnerAlive(Instant now) const { return now - m_lastChange <= m_settings.lease; }
 
 private:
-    Millis deference() const;
+    Millis takeOverDelay() const;
 
     std::string m_self;
     OwnershipSettings m_settings;
     TermRecord m_term;
-    std::uint64_t m_beatVersion = 0;
-    bool m_wasSeen = false;
+    std::uint64_t m_heartbeatVersion = 0;
+    bool m_wasRead = false;
     bool m_isOwner = false;
-    bool m_mayOwn = true;
-    bool m_isInFlight = false;
+    bool m_isEligible = true;
+    bool m_isCallInFlight = false;
     std::int64_t m_nextGeneration = 0; ///< Of the take-over that is under way.
     /// When the rows were last seen to change, or when contact with the table was regained.
-    Instant m_changed;
-    Instant m_contact; ///< When the rows were last read.
-    Instant m_renewed; ///< When the last successful renewal was sent.
-    Instant m_due;
+    Instant m_lastChange;
+    Instant m_lastContact; ///< When the rows were last read.
+    Instant m_lastRenewal; ///< When the last successful renewal was sent.
+    Instant m_nextAttempt;
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -36,7 +36,7 @@
     Scheduler(SchedulerSettings settings, std::int64_t generation, Instant now);
 
     /// Takes the rules now in force; jobs of a queue that was removed keep the rule they came with.
-    void setQueues(ConfigVersion version, const std::vector<QueueRule> &queues);
+    void setQueues(ConfigVersion version, const std::vector<QueueConfig> &queues);
     /// Takes the complete list of workers from service discovery.
     void listWorkers(const std::vector<WorkerReport> &workers, Instant now);
     /// Takes a stored job that was accepted at `accepted`; `progress` is what is recorded of it. An
@@ -169,7 +169,7 @@
     std::int64_t m_generation;
     Instant m_begun;
     ConfigVersion m_version;
-    std::map<std::string, QueueRule> m_queues;
+    std::map<std::string, QueueConfig> m_queues;
     std::map<WorkerId, WorkerState> m_workers;
     std::map<JobId, JobRun> m_jobs;
     std::set<JobId> m_active; ///< Jobs that have not ended.
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -26,7 +26,7 @@
     return result;
 }
 
-QueueRule queueOf(const char *name, const char *pool)
+QueueConfig queueOf(const char *name, const char *pool)
 {
     return {.name = name,
             .host = "soak.example",
@@ -119,7 +119,7 @@
 void Deployment::changeConfig()
 {
     m_config.version.value += 3;
-    for (QueueRule &queue : m_config.queues)
+    for (QueueConfig &queue : m_config.queues)
         queue.timeout += Millis(100);
     publishConfig();
 }
--- a/src/core/jsoncursor.cpp
+++ b/src/core/jsoncursor.cpp
@@ -29,11 +29,11 @@
                        FindingList &findings)
     : m_value(value)
     , m_file(std::move(file))
-    , m_place(std::move(place))
+    , m_location(std::move(place))
     , m_findings(findings)
 {
     if (!m_value.is_object())
-        m_findings.add({m_file, m_place, "is not an object", "a JSON object"});
+        m_findings.add({m_file, m_location, "is not an object", "a JSON object"});
 }
 
 const web::json::value *JsonCursor::member(std::string_view key, bool required) const
@@ -90,8 +90,8 @@
     return number(key, low, high);
 }
 
-void JsonCursor::each(std::string_view key, bool required,
-                      const std::function<void(const JsonCursor &)> &visit) const
+void JsonCursor::forEach(std::string_view key, bool required,
+                         const std::function<void(const JsonCursor &)> &visit) const
 {
     const web::json::value *found = member(key, required);
     if (!found)
@@ -102,17 +102,17 @@
     }
     std::size_t index = 0;
     for (const web::json::value &element : found->as_array()) {
-        const std::string place = pointerTo(m_place, key) + "/" + std::to_string(index++);
+        const std::string place = pointerTo(m_location, key) + "/" + std::to_string(index++);
         visit(JsonCursor(element, m_file, place, m_findings));
     }
 }
 
-void JsonCursor::with(std::string_view key,
-                      const std::function<void(const JsonCursor &)> &visit) const
+void JsonCursor::ifPresent(std::string_view key,
+                           const std::function<void(const JsonCursor &)> &visit) const
 {
     const web::json::value *found = member(key, false);
     if (found)
-        visit(JsonCursor(*found, m_file, pointerTo(m_place, key), m_findings));
+        visit(JsonCursor(*found, m_file, pointerTo(m_location, key), m_findings));
 }
 
 void JsonCursor::allowOnly(std::initializer_list<std::string_view> known) const
@@ -130,7 +130,7 @@
 
 void JsonCursor::report(std::string_view key, std::string problem, std::string expected) const
 {
-    const std::string place = key.empty() ? m_place : pointerTo(m_place, key);
+    const std::string place = key.empty() ? m_location : pointerTo(m_location, key);
     m_findings.add({m_file, place, std::move(problem), std::move(expected)});
 }
 
--- a/src/daemon/controllerdecisions.cpp
+++ b/src/daemon/controllerdecisions.cpp
@@ -24,7 +24,7 @@
         pools.insert(pool);
     for (const auto &[host, record] : m_state.hosts())
         pools.insert(record.pool);
-    const std::vector<EntryId> owners = m_members.owners(now);
+    const std::vector<EntryId> owners = m_members.ownerCandidates(now);
     for (const PoolId pool : pools) {
         if (ownerOf(pool, owners) == m_settings.id)
             owned.push_back(pool);
--- a/src/daemon/controllermembers.cpp
+++ b/src/daemon/controllermembers.cpp
@@ -30,13 +30,13 @@
         return;
     const auto members = static_cast<Millis::rep>(m_members.size());
     m_nextHeartbeat = now + std::max(kShortestHeartbeat, kHeartbeatPerMember * members);
-    ++m_row.beat;
+    ++m_row.heartbeatCount;
     m_row.acknowledged = m_state.sequence();
     m_row.config = m_state.configVersion();
     m_row.leaving = m_isLeaving;
     try {
         m_table.transact({{.key = {kMemberPartition, m_settings.id.name()},
-                           .version = m_row.beat,
+                           .version = m_row.heartbeatCount,
                            .data = encodeMember(m_row)}},
                          newOperation());
     } catch (const std::exception &) {
@@ -98,7 +98,7 @@
 {
     if (!m_hasHostList)
         return;
-    for (const EntryId entry : m_members.silentFor(kMemberSilence, now)) {
+    for (const EntryId entry : m_members.unchangedFor(kMemberSilence, now)) {
         // A row is removed only when the platform, too, no longer knows the entry host.
         if (m_hostList.contains(entry.name()) || entry == m_settings.id)
             continue;
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -38,7 +38,7 @@
     bool take()
     {
         const std::lock_guard lock(m_mutex);
-        const Instant now = bootNow();
+        const Instant now = monotonicNow();
         const std::chrono::duration<double> elapsed = now - m_filled;
         m_filled = now;
         m_lines = std::min<double>(kLogLinesPerSecond,
@@ -51,7 +51,7 @@
 
 private:
     std::mutex m_mutex;
-    Instant m_filled = bootNow();
+    Instant m_filled = monotonicNow();
     double m_lines = kLogLinesPerSecond;
 };
 
--- a/src/daemon/operatorapi.cpp
+++ b/src/daemon/operatorapi.cpp
@@ -34,7 +34,7 @@
     for (std::size_t index = 0; index < findings.items().size(); ++index) {
         const Finding &finding = findings.items()[index];
         list[index]["file"] = value::string(finding.file);
-        list[index]["place"] = value::string(finding.place);
+        list[index]["place"] = value::string(finding.location);
         list[index]["problem"] = value::string(finding.problem);
         list[index]["expected"] = value::string(finding.expected);
     }
--- a/src/fleet/logentry.cpp
+++ b/src/fleet/logentry.cpp
@@ -58,8 +58,8 @@
 {
     ConfigChange change;
     change.version = {parseCount(cursor, "configVersion")};
-    cursor.with("patch",
-                [&change](const JsonCursor &patch) { change.patch = parseRegisterPatch(patch); });
+    cursor.ifPresent(
+        "patch", [&change](const JsonCursor &patch) { change.patch = parseRegisterPatch(patch); });
     return change;
 }
 
@@ -72,10 +72,10 @@
         changes.push_back(parseConfigChange(cursor));
     else if (cursor.value().has_field("removedHost"))
         changes.push_back(HostRemoval{HostId(cursor.text("removedHost"))});
-    cursor.with("host", [&changes](const JsonCursor &host) {
+    cursor.ifPresent("host", [&changes](const JsonCursor &host) {
         changes.push_back(HostChange{parseHostRecord(host)});
     });
-    cursor.with("wave", [&changes](const JsonCursor &wave) {
+    cursor.ifPresent("wave", [&changes](const JsonCursor &wave) {
         changes.push_back(WaveChange{parseWaveRecord(wave)});
     });
 }
@@ -134,7 +134,7 @@
         .disruption = parseEnum(cursor, "disruption", disruptionFrom, Disruption::None),
         .wave = WaveId(cursor.textOr("wave", "")),
     };
-    cursor.each("instances", true, [&record](const JsonCursor &instance) {
+    cursor.forEach("instances", true, [&record](const JsonCursor &instance) {
         instance.allowOnly({"service", "state"});
         record.instances.push_back(
             {.service = ServiceId(instance.text("service")),
@@ -166,8 +166,8 @@
         .operation = cursor.text("operation"),
         .reason = cursor.text("reason", kMaxReasonLength),
     };
-    cursor.each("changes", true,
-                [&entry](const JsonCursor &change) { parseChange(change, entry.changes); });
+    cursor.forEach("changes", true,
+                   [&entry](const JsonCursor &change) { parseChange(change, entry.changes); });
     if (!findings.empty())
         throw InvalidDocument(std::move(findings));
     return entry;
--- a/src/http/httpclient.cpp
+++ b/src/http/httpclient.cpp
@@ -66,7 +66,7 @@
 
 void HttpClient::send(HttpCall call, Callback done)
 {
-    m_queue.push_back({std::move(call), std::move(done), bootNow()});
+    m_queue.push_back({std::move(call), std::move(done), monotonicNow()});
     asio::post(m_io, [self = shared_from_this()] { self->pump(); });
 }
 
@@ -92,7 +92,7 @@
         }
         Pending pending = std::move(m_queue.front());
         m_queue.pop_front();
-        if (bootNow() >= pending.sent + pending.call.timeout) {
+        if (monotonicNow() >= pending.sent + pending.call.timeout) {
             // It waited for a connection for all of its time.
             pending.done({.outcome = HttpAnswer::Outcome::NotSent, .sent = pending.sent});
             continue;
@@ -110,8 +110,8 @@
 {
     ++m_opened;
     const Pending &pending = connection->pending;
-    connection->stream.expires_after(
-        std::min<Instant::duration>(pending.sent + pending.call.timeout - bootNow(), kConnectTime));
+    connection->stream.expires_after(std::min<Instant::duration>(
+        pending.sent + pending.call.timeout - monotonicNow(), kConnectTime));
     connection->stream.async_connect(
         m_endpoint, [self = shared_from_this(), connection](const beast::error_code &failed) {
             if (failed) {
@@ -143,12 +143,12 @@
         request.prepare_payload();
     connection->parser = std::make_unique<http::response_parser<http::string_body>>();
     connection->parser->body_limit(kMaxAnswerBytes);
-    connection->stream.expires_after(connection->pending.sent + call.timeout - bootNow());
+    connection->stream.expires_after(connection->pending.sent + call.timeout - monotonicNow());
     const auto failedCall = [this](const std::shared_ptr<Connection> &target) {
         Pending &pending = target->pending;
         // A kept connection that the server had closed: the call may go on a new one.
         const bool isStale = target->wasUsed && pending.call.isRepeatable && !pending.isRepeat
-            && bootNow() < pending.sent + pending.call.timeout;
+            && monotonicNow() < pending.sent + pending.call.timeout;
         if (!isStale) {
             finish(target, {.outcome = HttpAnswer::Outcome::Unknown}, false);
             return;
--- a/src/jobs/jobcodec.cpp
+++ b/src/jobs/jobcodec.cpp
@@ -27,16 +27,16 @@
     for (std::size_t index = 0; index < step.after.size(); ++index)
         after[index] = value(step.after[index]);
     record["after"] = after;
-    record["flags"] = value((step.isGang ? kGang : 0) | (step.needsOneRack ? kOneRack : 0)
-                            | (step.mayRunTwice ? kTwice : 0)
-                            | (step.isLongRunning ? kLongRunning : 0) | (step.fills ? kFills : 0)
-                            | (step.savesProgress ? kSaves : 0));
+    record["flags"] = value(
+        (step.isGang ? kGang : 0) | (step.needsOneRack ? kOneRack : 0)
+        | (step.allowsSpeculation ? kTwice : 0) | (step.isLongRunning ? kLongRunning : 0)
+        | (step.usesIdleCores ? kFills : 0) | (step.savesProgress ? kSaves : 0));
     record["label"] = value(step.requiredLabel);
     record["rack"] = value(step.dataRack);
     record["spread"] = value(step.maxPerWorker);
     record["image"] = value(step.image);
     record["latency"] = value(static_cast<std::int64_t>(step.latencyTarget.count()));
-    record["miss"] = value(step.mayMiss);
+    record["miss"] = value(step.maxDisrupted);
     return record;
 }
 
@@ -53,20 +53,20 @@
     const int flags = record.at("flags").as_integer();
     step.isGang = (flags & kGang) != 0;
     step.needsOneRack = (flags & kOneRack) != 0;
-    step.mayRunTwice = (flags & kTwice) != 0;
+    step.allowsSpeculation = (flags & kTwice) != 0;
     step.isLongRunning = (flags & kLongRunning) != 0;
-    step.fills = (flags & kFills) != 0;
+    step.usesIdleCores = (flags & kFills) != 0;
     step.savesProgress = (flags & kSaves) != 0;
     step.requiredLabel = record.at("label").as_string();
     step.dataRack = record.at("rack").as_string();
     step.maxPerWorker = record.at("spread").as_integer();
     step.image = record.at("image").as_string();
     step.latencyTarget = Millis(record.at("latency").as_number().to_int64());
-    step.mayMiss = record.at("miss").as_integer();
+    step.maxDisrupted = record.at("miss").as_integer();
     return step;
 }
 
-value encodeQueue(const QueueRule &queue)
+value encodeQueue(const QueueConfig &queue)
 {
     value record = value::object();
     record["name"] = value(queue.name);
@@ -85,19 +85,19 @@
     return record;
 }
 
-QueueRule decodeQueue(const value &record)
+QueueConfig decodeQueue(const value &record)
 {
-    QueueRule queue{.name = record.at("name").as_string(),
-                    .service = ServiceId(record.at("service").as_string())};
+    QueueConfig queue{.name = record.at("name").as_string(),
+                      .service = ServiceId(record.at("service").as_string())};
     queue.priority = record.at("priority").as_integer();
     queue.maxAttempts = record.at("attempts").as_integer();
     queue.stretch = record.at("stretch").as_double();
     queue.allowance = Millis(record.at("allowance").as_number().to_int64());
     if (record.has_field("advice")) {
         const auto &advice = record.at("advice").as_array();
-        queue.advice = AdviceRule{Millis(advice.at(0).as_number().to_int64()),
-                                  Millis(advice.at(1).as_number().to_int64()),
-                                  Millis(advice.at(2).as_number().to_int64())};
+        queue.advice = AdviceConfig{Millis(advice.at(0).as_number().to_int64()),
+                                    Millis(advice.at(1).as_number().to_int64()),
+                                    Millis(advice.at(2).as_number().to_int64())};
     }
     return queue;
 }
--- a/src/maintenance/hostplanner.cpp
+++ b/src/maintenance/hostplanner.cpp
@@ -19,47 +19,48 @@
 void HostPlanner::setPools(const std::vector<PoolConfig> &pools)
 {
     m_pools.clear();
-    m_spare = {};
+    m_sparePool = {};
     for (const PoolConfig &pool : pools) {
         m_pools[pool.service] = pool.isSpare;
         if (pool.isSpare)
-            m_spare = pool.service;
+            m_sparePool = pool.service;
     }
 }
 
-void HostPlanner::takeHosts(const std::vector<HostInfo> &hosts, Instant now)
+void HostPlanner::updateHosts(const std::vector<HostInfo> &hosts, Instant now)
 {
     std::set<HostId> listed;
     for (const HostInfo &info : hosts) {
         listed.insert(info.id);
         Host &host = m_hosts[info.id];
         // A list that was read while an order was under way may be older than the order.
-        if (host.isOrderInFlight || (now < host.awayUntil && info.state == HostInfo::State::Up))
+        if (host.isCommandInFlight
+            || (now < host.unavailableUntil && info.state == HostInfo::State::Up))
             continue;
         host.info = info;
     }
     std::erase_if(m_hosts, [&](const auto &entry) { return !listed.contains(entry.first); });
-    m_areHostsKnown = true;
+    m_hasHostList = true;
 }
 
 void HostPlanner::addWave(const Wave &wave, Instant seen, const std::set<HostId> &maintained)
 {
     WaveState &state = m_waves[wave.number];
     if (state.wave.number == 0)
-        state.seen = seen;
+        state.firstSeen = seen;
     state.wave = wave;
-    state.begun.insert(maintained.begin(), maintained.end());
+    state.started.insert(maintained.begin(), maintained.end());
 }
 
 std::set<HostId> HostPlanner::maintained(std::int64_t wave) const
 {
     const auto found = m_waves.find(wave);
-    return found == m_waves.end() ? std::set<HostId>() : found->second.begun;
+    return found == m_waves.end() ? std::set<HostId>() : found->second.started;
 }
 
 std::optional<std::vector<WorkerId>> HostPlanner::workersIn(ServiceId pool) const
 {
-    if (!m_areHostsKnown)
+    if (!m_hasHostList)
         return std::nullopt;
     std::vector<WorkerId> workers;
     for (const auto &[id, host] : m_hosts) {
@@ -69,52 +70,53 @@
     return workers;
 }
 
-bool HostPlanner::isWaiting(Instant now) const
+bool HostPlanner::hasPendingChanges(Instant now) const
 {
     return std::any_of(m_hosts.begin(), m_hosts.end(), [&](const auto &entry) {
         const Host &host = entry.second;
-        return host.isOrderInFlight || now < host.awayUntil + m_settings.settleTime
+        return host.isCommandInFlight || now < host.unavailableUntil + m_settings.minStay
             || host.info.state == HostInfo::State::Moving
             || host.info.state == HostInfo::State::Maintenance;
     });
 }
 
-bool HostPlanner::isUp(const Host &host, Instant now) const
+bool HostPlanner::acceptsCommands(const Host &host, Instant now) const
 {
     const auto paused = m_pausedUntil.find(host.info.id);
-    return host.info.state == HostInfo::State::Up && !host.isOrderInFlight && now >= host.freeAt
-        && now >= host.awayUntil && (paused == m_pausedUntil.end() || now >= paused->second);
+    return host.info.state == HostInfo::State::Up && !host.isCommandInFlight
+        && now >= host.nextCommandAt && now >= host.unavailableUntil
+        && (paused == m_pausedUntil.end() || now >= paused->second);
 }
 
-void HostPlanner::order(Host &host, HostOrder order, Plan &plan)
+void HostPlanner::addCommand(Host &host, HostCommand order, Plan &plan)
 {
-    host.isOrderInFlight = true;
-    host.orderedPool = order.pool;
-    plan.orders.push_back(std::move(order));
+    host.isCommandInFlight = true;
+    host.targetPool = order.pool;
+    plan.commands.push_back(std::move(order));
 }
 
-void HostPlanner::orderAnswered(const HostOrder &order, HostOrderResult result, Instant now)
+void HostPlanner::commandAnswered(const HostCommand &order, HostCommandResult result, Instant now)
 {
     const auto found = m_hosts.find(order.host);
     const auto wave = m_waves.find(order.wave);
     if (!order.isMove() && wave != m_waves.end()) {
-        if (result == HostOrderResult::Done) {
-            wave->second.begun.insert(order.host);
-            wave->second.awayUntil[order.host] = now + m_settings.maintenanceTime;
-        } else if (result == HostOrderResult::NotOfWave || result == HostOrderResult::Invalid) {
-            wave->second.begun.insert(order.host); // the platform does not want it maintained
-        } else if (result != HostOrderResult::Unknown) {
-            wave->second.awayUntil.erase(order.host);
+        if (result == HostCommandResult::Done) {
+            wave->second.started.insert(order.host);
+            wave->second.unavailableUntil[order.host] = now + m_settings.maintenanceTime;
+        } else if (result == HostCommandResult::NotOfWave || result == HostCommandResult::Invalid) {
+            wave->second.started.insert(order.host); // the platform does not want it maintained
+        } else if (result != HostCommandResult::Unknown) {
+            wave->second.unavailableUntil.erase(order.host);
         }
     }
     if (found == m_hosts.end())
         return;
     Host &host = found->second;
-    host.isOrderInFlight = false;
-    if (result == HostOrderResult::Done) {
+    host.isCommandInFlight = false;
+    if (result == HostCommandResult::Done) {
         const Millis away = order.isMove() ? m_settings.moveTime : m_settings.maintenanceTime;
-        host.awayUntil = now + away;
-        host.freeAt = now + away + m_settings.settleTime;
+        host.unavailableUntil = now + away;
+        host.nextCommandAt = now + away + m_settings.minStay;
         host.info.worker = {};
         if (order.isMove()) {
             host.info.pool = order.pool;
@@ -124,22 +126,23 @@
         }
         return;
     }
-    if (result == HostOrderResult::Invalid && order.isMove())
-        host.impossiblePools.insert(order.pool);
-    host.freeAt = now + m_settings.orderRetry;
+    if (result == HostCommandResult::Invalid && order.isMove())
+        host.rejectedPools.insert(order.pool);
+    host.nextCommandAt = now + m_settings.commandRetryDelay;
 }
 
-HostPlanner::Plan HostPlanner::plan(const PoolDemands &demands, const UseOf &useOf, Instant now)
+HostPlanner::Plan HostPlanner::plan(const PoolDemands &demands, const UsageLookup &useOf,
+                                    Instant now)
 {
     Plan plan;
-    if (!m_areHostsKnown)
+    if (!m_hasHostList)
         return plan;
     planWaves(useOf, now, plan);
     planMoves(demands, useOf, now, plan);
     return plan;
 }
 
-void HostPlanner::planWaves(const UseOf &useOf, Instant now, Plan &plan)
+void HostPlanner::planWaves(const UsageLookup &useOf, Instant now, Plan &plan)
 {
     for (auto &[number, state] : m_waves) {
         if (state.isCompleted)
@@ -150,8 +153,8 @@
             const auto found = m_hosts.find(id);
             if (found == m_hosts.end())
                 continue; // it is gone for good
-            const auto until = state.awayUntil.find(id);
-            const bool isOrdered = until != state.awayUntil.end()
+            const auto until = state.unavailableUntil.find(id);
+            const bool isOrdered = until != state.unavailableUntil.end()
                 && (now < until->second || found->second.info.state != HostInfo::State::Up);
             // An earlier owner may have ordered it just now.
             const auto paused = m_pausedUntil.find(id);
@@ -159,7 +162,7 @@
             if (isOrdered || mayBeOrdered
                 || found->second.info.state == HostInfo::State::Maintenance)
                 ++away;
-            if (!state.begun.contains(id))
+            if (!state.started.contains(id))
                 left.push_back(&found->second);
         }
         if (!state.isStateKnown || left.empty()) {
@@ -170,14 +173,14 @@
         // Those that run nothing go first, then those with the least work.
         std::vector<std::pair<double, Host *>> ranked;
         for (Host *host : left) {
-            const WorkerUse use = useOf(host->info.worker);
-            plan.dueSoon.insert(host->info.worker);
+            const WorkerUsage use = useOf(host->info.worker);
+            plan.awaitingMaintenance.insert(host->info.worker);
             const bool isFree = use.isEmpty || (use.batchCores == 0 && use.mayInterrupt);
             ranked.emplace_back(isFree ? (use.isEmpty ? 0 : 1) : 2 + use.batchCores, host);
         }
         std::stable_sort(ranked.begin(), ranked.end(),
                          [](const auto &a, const auto &b) { return a.first < b.first; });
-        const double elapsed = std::chrono::duration<double>(now - state.seen).count();
+        const double elapsed = std::chrono::duration<double>(now - state.firstSeen).count();
         const double usable = std::chrono::duration<double>(state.wave.duration).count()
             * (1 - kWaveReserve);
         const auto total = static_cast<double>(state.wave.hosts.size());
@@ -187,18 +190,19 @@
         for (const auto &[rank, host] : ranked) {
             if (away >= state.wave.maxAtOnce)
                 break;
-            if (!isUp(*host, now))
+            if (!acceptsCommands(*host, now))
                 continue;
-            const WorkerUse use = useOf(host->info.worker);
+            const WorkerUsage use = useOf(host->info.worker);
             // What runs at a worker that was not read yet is not known; a host that is off has
             // none.
             if (!use.isKnown && !host->info.worker.empty())
                 continue;
             if (rank < 2 && use.mayInterrupt) {
                 ++away;
-                state.awayUntil[host->info.id] = now + m_settings.maintenanceTime;
-                order(*host, {.host = host->info.id, .wave = number, .reason = "maintenance wave"},
-                      plan);
+                state.unavailableUntil[host->info.id] = now + m_settings.maintenanceTime;
+                addCommand(*host,
+                           {.host = host->info.id, .wave = number, .reason = "maintenance wave"},
+                           plan);
                 // Budgets of running tasks hold for one host at a time.
                 if (!use.isEmpty)
                     break;
@@ -218,7 +222,7 @@
         const WaveState &state = entry.second;
         return std::any_of(state.wave.hosts.begin(), state.wave.hosts.end(), [&](HostId id) {
             const auto host = m_hosts.find(id);
-            return !state.begun.contains(id) && host != m_hosts.end()
+            return !state.started.contains(id) && host != m_hosts.end()
                 && host->second.info.pool == pool;
         });
     });
@@ -231,13 +235,13 @@
     std::map<ServiceId, double> cores;
     for (const auto &[id, host] : m_hosts) {
         // A host that is ordered into a pool counts there, also while the answer is on its way.
-        const bool isOrdered = host.isOrderInFlight && !host.orderedPool.empty();
-        PoolState &state = states[isOrdered ? host.orderedPool : host.info.pool];
-        const bool isComing = now < host.awayUntil || isOrdered;
+        const bool isOrdered = host.isCommandInFlight && !host.targetPool.empty();
+        PoolState &state = states[isOrdered ? host.targetPool : host.info.pool];
+        const bool isComing = now < host.unavailableUntil || isOrdered;
         if (host.info.state == HostInfo::State::Up || isComing
             || host.info.state == HostInfo::State::Moving
             || host.info.state == HostInfo::State::Maintenance)
-            ++state.present;
+            ++state.currentHosts;
         cores[host.info.pool] += static_cast<double>(host.info.capacity.milliCores) / kMilliPerCore;
     }
     std::map<ServiceId, int> counts;
@@ -248,38 +252,39 @@
     for (const auto &[pool, demand] : demands) {
         PoolState &state = states[pool];
         const double wanted = (demand.cores + demand.longRunningCores)
-            / (state.coresPerHost * m_settings.fillShare);
+            / (state.coresPerHost * m_settings.usableShare);
         // One more than tasks must be spread over, while hosts of the pool are maintained.
         const int reserve = isMaintaining(pool) ? 1 : 0;
-        const int least = std::max(m_settings.leastHosts, demand.leastHosts + reserve);
-        state.wanted = std::max(least, static_cast<int>(std::ceil(wanted)));
+        const int least = std::max(m_settings.minHosts, demand.leastHosts + reserve);
+        state.desiredHosts = std::max(least, static_cast<int>(std::ceil(wanted)));
     }
     return states;
 }
 
-HostPlanner::Host *HostPlanner::takeHost(ServiceId from, ServiceId to, const UseOf &useOf,
-                                         Instant now)
+HostPlanner::Host *HostPlanner::findFreeHost(ServiceId from, ServiceId to, const UsageLookup &useOf,
+                                             Instant now)
 {
     for (auto &[id, host] : m_hosts) {
-        if (host.info.pool != from || !isUp(host, now) || host.impossiblePools.contains(to))
+        if (host.info.pool != from || !acceptsCommands(host, now)
+            || host.rejectedPools.contains(to))
             continue;
-        if (from == m_spare)
+        if (from == m_sparePool)
             return &host;
-        const WorkerUse use = useOf(host.info.worker);
+        const WorkerUsage use = useOf(host.info.worker);
         if (use.isKnown && use.isEmpty)
             return &host;
     }
     return nullptr;
 }
 
-void HostPlanner::cordonEmptiest(ServiceId pool, int count, const UseOf &useOf, Instant now,
-                                 Plan &plan)
+void HostPlanner::cordonLeastLoaded(ServiceId pool, int count, const UsageLookup &useOf,
+                                    Instant now, Plan &plan)
 {
     std::vector<std::pair<double, WorkerId>> ranked;
     for (const auto &[id, host] : m_hosts) {
-        if (host.info.pool != pool || !isUp(host, now))
+        if (host.info.pool != pool || !acceptsCommands(host, now))
             continue;
-        const WorkerUse use = useOf(host.info.worker);
+        const WorkerUsage use = useOf(host.info.worker);
         if (use.isKnown && use.batchCores > 0)
             ranked.emplace_back(use.batchCores, host.info.worker);
     }
@@ -291,67 +296,72 @@
     }
 }
 
-void HostPlanner::planMoves(const PoolDemands &demands, const UseOf &useOf, Instant now, Plan &plan)
+void HostPlanner::planMoves(const PoolDemands &demands, const UsageLookup &useOf, Instant now,
+                            Plan &plan)
 {
-    if (m_spare.empty() && m_pools.size() < 2)
+    if (m_sparePool.empty() && m_pools.size() < 2)
         return;
     std::map<ServiceId, PoolState> states = poolStates(demands, now);
     std::vector<std::pair<double, ServiceId>> shortPools;
     for (const auto &[pool, state] : states) {
-        if (pool != m_spare && m_pools.contains(pool) && state.present < state.wanted)
-            shortPools.emplace_back(static_cast<double>(state.present) / state.wanted, pool);
+        if (pool != m_sparePool && m_pools.contains(pool)
+            && state.currentHosts < state.desiredHosts)
+            shortPools.emplace_back(static_cast<double>(state.currentHosts) / state.desiredHosts,
+                                    pool);
     }
     std::sort(shortPools.begin(), shortPools.end());
     for (const auto &[share, pool] : shortPools) {
         PoolState &needy = states[pool];
-        std::vector<ServiceId> sources{m_spare};
+        std::vector<ServiceId> sources{m_sparePool};
         for (const auto &[other, state] : states) {
-            if (other != m_spare && other != pool && m_pools.contains(other)
-                && state.present > state.wanted)
+            if (other != m_sparePool && other != pool && m_pools.contains(other)
+                && state.currentHosts > state.desiredHosts)
                 sources.push_back(other);
         }
         for (const ServiceId source : sources) {
             PoolState &donor = states[source];
-            while (needy.present < needy.wanted
-                   && (source == m_spare || donor.present > donor.wanted)) {
-                Host *host = takeHost(source, pool, useOf, now);
+            while (needy.currentHosts < needy.desiredHosts
+                   && (source == m_sparePool || donor.currentHosts > donor.desiredHosts)) {
+                Host *host = findFreeHost(source, pool, useOf, now);
                 if (!host)
                     break;
-                ++needy.present;
-                --donor.present;
-                order(*host,
-                      {.host = host->info.id,
-                       .pool = pool,
-                       .reason = "pool wants " + std::to_string(needy.wanted) + " hosts, has "
-                           + std::to_string(needy.present - 1)},
-                      plan);
+                ++needy.currentHosts;
+                --donor.currentHosts;
+                addCommand(*host,
+                           {.host = host->info.id,
+                            .pool = pool,
+                            .reason = "pool wants " + std::to_string(needy.desiredHosts)
+                                + " hosts, has " + std::to_string(needy.currentHosts - 1)},
+                           plan);
             }
-            if (source != m_spare && needy.present < needy.wanted)
-                cordonEmptiest(source,
-                               std::min(donor.present - donor.wanted, needy.wanted - needy.present),
-                               useOf, now, plan);
+            if (source != m_sparePool && needy.currentHosts < needy.desiredHosts)
+                cordonLeastLoaded(source,
+                                  std::min(donor.currentHosts - donor.desiredHosts,
+                                           needy.desiredHosts - needy.currentHosts),
+                                  useOf, now, plan);
         }
     }
-    if (m_spare.empty())
+    if (m_sparePool.empty())
         return;
     for (auto &[pool, state] : states) {
-        const bool hasSurplus = pool != m_spare && m_pools.contains(pool)
-            && state.present > state.wanted;
+        const bool hasSurplus = pool != m_sparePool && m_pools.contains(pool)
+            && state.currentHosts > state.desiredHosts;
         if (!hasSurplus) {
             m_surplusSince.erase(pool);
             continue;
         }
         const Instant since = m_surplusSince.try_emplace(pool, now).first->second;
-        if (now - since < m_settings.idleTime)
+        if (now - since < m_settings.surplusTime)
             continue;
-        while (state.present > state.wanted) {
-            Host *host = takeHost(pool, m_spare, useOf, now);
+        while (state.currentHosts > state.desiredHosts) {
+            Host *host = findFreeHost(pool, m_sparePool, useOf, now);
             if (!host)
                 break;
-            --state.present;
-            order(*host,
-                  {.host = host->info.id, .pool = m_spare, .reason = "idle: pool wants fewer"},
-                  plan);
+            --state.currentHosts;
+            addCommand(
+                *host,
+                {.host = host->info.id, .pool = m_sparePool, .reason = "idle: pool wants fewer"},
+                plan);
         }
     }
 }
--- a/src/maintenance/orderedlives.cpp
+++ b/src/maintenance/workerendverifier.cpp
@@ -1,23 +1,23 @@
-#include "oleanderhall/maintenance/orderedlives.h"
+#include "oleanderhall/maintenance/workerendverifier.h"
 
 namespace oleanderhall {
 
-void OrderedLives::orderDone(HostId host, WorkerId worker, Instant answered)
+void WorkerEndVerifier::commandDone(HostId host, WorkerId worker, Instant answered)
 {
     if (!worker.empty())
-        m_questions[host] = {worker, answered};
+        m_pendingChecks[host] = {worker, answered};
 }
 
-std::vector<OrderedLives::Verdict> OrderedLives::judge(const std::vector<HostInfo> &hosts,
-                                                       Instant asked)
+std::vector<WorkerEndVerifier::Verdict> WorkerEndVerifier::verify(
+    const std::vector<HostInfo> &hosts, Instant requested)
 {
     std::map<HostId, const HostInfo *> listed;
     for (const HostInfo &host : hosts)
         listed[host.id] = &host;
     std::vector<Verdict> verdicts;
-    std::erase_if(m_questions, [&](const auto &entry) {
+    std::erase_if(m_pendingChecks, [&](const auto &entry) {
         const auto &[host, question] = entry;
-        if (asked <= question.answered)
+        if (requested <= question.answered)
             return false; // the list may be older than the order
         const auto found = listed.find(host);
         const bool goesOn = found != listed.end() && found->second->state == HostInfo::State::Up
--- a/src/membership/memberrow.cpp
+++ b/src/membership/memberrow.cpp
@@ -26,7 +26,7 @@
     result["zone"] = value::string(row.zone.name());
     result["peer"] = value::string(row.peerAddress);
     result["incarnation"] = value::string(row.incarnation);
-    result["beat"] = value::number(row.beat);
+    result["beat"] = value::number(row.heartbeatCount);
     result["acknowledged"] = value::number(row.acknowledged.value);
     result["config"] = value::number(row.config.value);
     result["leaving"] = value::number(row.leaving ? 1 : 0);
@@ -45,7 +45,7 @@
         .zone = ZoneId(cursor.text("zone")),
         .peerAddress = cursor.text("peer"),
         .incarnation = cursor.text("incarnation"),
-        .beat = count(cursor, "beat"),
+        .heartbeatCount = count(cursor, "beat"),
         .acknowledged = {count(cursor, "acknowledged")},
         .config = {count(cursor, "config")},
         .leaving = cursor.number("leaving", 0, 1) == 1,
--- a/src/membership/membertable.cpp
+++ b/src/membership/membertable.cpp
@@ -14,11 +14,11 @@
     m_seenAt = seenAt;
 }
 
-std::vector<EntryId> MemberTable::owners(Instant now) const
+std::vector<EntryId> MemberTable::ownerCandidates(Instant now) const
 {
     std::vector<EntryId> result;
     for (const auto &[id, member] : m_members) {
-        if (!hasLapsed(member, now) && !member.row.leaving)
+        if (!hasExpired(member, now) && !member.row.leaving)
             result.push_back(id);
     }
     return result;
@@ -28,7 +28,7 @@
 {
     std::vector<MemberRow> result;
     for (const auto &[id, member] : m_members) {
-        if (!hasLapsed(member, now))
+        if (!hasExpired(member, now))
             result.push_back(member.row);
     }
     return result;
@@ -46,12 +46,12 @@
 {
     std::vector<EntryObservation> result;
     for (const auto &[id, member] : m_members) {
-        result.push_back({id, member.row.zone, member.row.acknowledged, hasLapsed(member, now)});
+        result.push_back({id, member.row.zone, member.row.acknowledged, hasExpired(member, now)});
     }
     return result;
 }
 
-std::vector<EntryId> MemberTable::silentFor(Millis age, Instant now) const
+std::vector<EntryId> MemberTable::unchangedFor(Millis age, Instant now) const
 {
     std::vector<EntryId> result;
     for (const auto &[id, member] : m_members) {
@@ -61,7 +61,7 @@
     return result;
 }
 
-bool MemberTable::hasLapsed(const Member &member, Instant now) const
+bool MemberTable::hasExpired(const Member &member, Instant now) const
 {
     const Millis lapse = m_base + m_perMember * m_members.size();
     return now - member.changed >= lapse;
--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -71,7 +71,7 @@
     for (std::size_t index = 0; index < findings.items().size(); ++index) {
         const Finding &finding = findings.items()[index];
         web::json::value entry = web::json::value::object();
-        entry["place"] = web::json::value(finding.place);
+        entry["place"] = web::json::value(finding.location);
         entry["problem"] = web::json::value(finding.problem);
         entry["expected"] = web::json::value(finding.expected);
         list[index] = entry;
@@ -108,9 +108,10 @@
 
 asio::awaitable<Reply> CallerApi::answer(HttpRequest &request)
 {
-    const Instant received = bootNow();
+    const Instant received = monotonicNow();
     Reply reply = co_await route(request);
-    m_metrics.countAnswer(reply.status, std::chrono::duration_cast<Millis>(bootNow() - received));
+    m_metrics.countAnswer(reply.status,
+                          std::chrono::duration_cast<Millis>(monotonicNow() - received));
     co_return reply;
 }
 
@@ -121,11 +122,11 @@
     const std::string path(request.target().substr(0, request.target().find('?')));
     const auto host = request[boost::beast::http::field::host];
     const std::string_view hostName(host.data(), host.size());
-    const QueueRule *queue = m_view.config->find(hostName, path);
+    const QueueConfig *queue = m_view.config->find(hostName, path);
     if (!queue)
         co_return refuse(kNotFound, "no_such_queue", std::nullopt);
     Target target{*queue, m_view.config->version, path.substr(queue->prefix.size()),
-                  latestAnswer(request, bootNow())};
+                  latestAnswer(request, monotonicNow())};
     const auto method = request.method();
     if (target.rest.empty()) {
         if (method == boost::beast::http::verb::get)
@@ -148,7 +149,7 @@
 
 Reply CallerApi::waiting(const Target &target)
 {
-    if (bootNow() - m_view.report.heard > kReportLimit)
+    if (monotonicNow() - m_view.report.heard > kReportLimit)
         return refuse(kUnavailable, "count_unknown", kComeBack);
     const auto found = m_view.report.waiting.find(target.queue.name);
     return jsonReply(
@@ -188,11 +189,11 @@
                         .headers = {{"Content-Type", "application/json"}},
                         .body = findingsBody(findings)};
     }
-    if (!m_view.isTableReachable(bootNow())) {
+    if (!m_view.isTableReachable(monotonicNow())) {
         logInfo("job_refused", {{"job", textOf(id)}, {"reason", "table_unreachable"}});
         co_return refuse(kUnavailable, "table_unreachable", kComeBack);
     }
-    job.acceptedMs = m_view.tableTime(bootNow());
+    job.acceptedMs = m_view.tableTime(monotonicNow());
     // Where nothing waits the job starts at once; a job that has to wait is released in its turn.
     const auto waiting = m_view.report.waiting.find(target.queue.name);
     job.isReleased = waiting == m_view.report.waiting.end() || waiting->second == 0;
@@ -203,7 +204,7 @@
         });
     constexpr Millis kSlack{500}; // the writer answers in time by itself
     const std::optional<Stored> stored = co_await shot->wait(
-        std::chrono::steady_clock::now() + (target.latest - bootNow()) + kSlack);
+        std::chrono::steady_clock::now() + (target.latest - monotonicNow()) + kSlack);
     const StoreOutcome outcome = stored ? stored->outcome : StoreOutcome::Unknown;
     if (outcome == StoreOutcome::Stored || outcome == StoreOutcome::AlreadyStored) {
         const bool isNew = outcome == StoreOutcome::Stored;
@@ -224,7 +225,7 @@
     if (mayBeStored)
         co_return refuse(kOutcomeUnknown, "outcome_unknown", std::nullopt);
     const Millis expected = m_writers[static_cast<std::size_t>(partNumber(id))]->expected(
-        bootNow());
+        monotonicNow());
     co_return refuse(kUnavailable, "table_refused", std::max(kComeBack, expected));
 }
 
--- a/src/node/callerapi.h
+++ b/src/node/callerapi.h
@@ -29,7 +29,7 @@
     boost::asio::awaitable<Reply> route(HttpRequest &request);
     struct Target
     {
-        QueueRule queue;
+        QueueConfig queue;
         ConfigVersion config;
         std::string rest; ///< Of the path, behind the queue's prefix.
         Instant latest; ///< When the caller stops to wait.
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -72,7 +72,7 @@
         , m_signals(m_io, SIGTERM, SIGINT, SIGHUP)
         , m_table(m_io, settings.table, m_metrics)
         , m_api(m_io, m_table, m_view, m_metrics)
-        , m_ownership(settings.id.name(), ownershipSettings(), bootNow())
+        , m_ownership(settings.id.name(), ownershipSettings(), monotonicNow())
         , m_driveTimer(m_io)
         , m_stopTimer(m_io)
     {}
@@ -106,7 +106,7 @@
 
     bool isReady() const
     {
-        return m_view.config && m_view.isTableReachable(bootNow()) && !m_isStopping;
+        return m_view.config && m_view.isTableReachable(monotonicNow()) && !m_isStopping;
     }
 
     void serveCallers()
@@ -180,7 +180,7 @@
     {
         noteContact(update);
         TermRecord term = m_ownership.term();
-        std::uint64_t beat = m_ownership.beatVersion();
+        std::uint64_t beat = m_ownership.heartbeatVersion();
         for (const platform::TableRow &row : update.rows) {
             if (row.key == kTermKey && row.version >= term.version)
                 term = decodeTerm(row);
@@ -192,7 +192,7 @@
                 takeMaintained(m_view, row);
         }
         const bool wasOwner = m_ownership.isOwner();
-        m_ownership.seen(term, beat, bootNow());
+        m_ownership.recordsRead(term, beat, monotonicNow());
         if (wasOwner && !m_ownership.isOwner())
             endTerm();
     }
@@ -208,12 +208,12 @@
 
     void drive()
     {
-        const Instant now = bootNow();
+        const Instant now = monotonicNow();
         if (m_owner && (m_owner->isDeposed() || !m_ownership.isOwner())) {
             m_ownership.renewAnswered(false, true, 0, now, now);
             endTerm();
         }
-        switch (m_ownership.next(now)) {
+        switch (m_ownership.nextStep(now)) {
         case Ownership::Step::TakeOver:
             takeOver();
             break;
@@ -235,7 +235,7 @@
         const TermRecord term = m_ownership.term();
         platform::Transaction transaction{.part = kOwnPart};
         transaction.expected.push_back({kControlTable, kTermKey, term.version});
-        transaction.expected.push_back({kControlTable, kBeatKey, m_ownership.beatVersion()});
+        transaction.expected.push_back({kControlTable, kBeatKey, m_ownership.heartbeatVersion()});
         transaction.writes.push_back({kControlTable, kTermKey,
                                       encodeTerm({.owner = m_settings.id.name(),
                                                   .generation = term.generation + 1,
@@ -243,7 +243,7 @@
         transaction.writes.push_back({kControlTable, kBeatKey, "{}"});
         m_table.transact(transaction, kTakeOverTime, [this](const platform::TransactionResult &r) {
             const bool isDone = r.outcome == platform::TransactionResult::Outcome::Done;
-            m_ownership.takeOverAnswered(isDone, r.version, r.sent, bootNow());
+            m_ownership.takeOverAnswered(isDone, r.version, r.sent, monotonicNow());
             if (!isDone || m_isStopping)
                 return;
             m_metrics.count("ownership_taken_total");
@@ -273,7 +273,7 @@
         m_table.transact(transaction, kControlTime, [this](const platform::TransactionResult &r) {
             using Outcome = platform::TransactionResult::Outcome;
             m_ownership.renewAnswered(r.outcome == Outcome::Done, r.outcome == Outcome::Conflict,
-                                      r.version, r.sent, bootNow());
+                                      r.version, r.sent, monotonicNow());
             if (!m_ownership.isOwner())
                 endTerm();
         });
@@ -312,7 +312,7 @@
         m_stopTimer.async_wait([this](const boost::system::error_code &) {
             m_callers->drain();
             m_callers->stop();
-            m_stopLatest = bootNow() + m_settings.stopLimit - kStopNotice - kStopReserve;
+            m_stopLatest = monotonicNow() + m_settings.stopLimit - kStopNotice - kStopReserve;
             finishStop();
         });
     }
@@ -325,7 +325,7 @@
         if (!wasOwner)
             return;
         endTerm();
-        m_ownership.renewAnswered(false, true, 0, bootNow(), bootNow());
+        m_ownership.renewAnswered(false, true, 0, monotonicNow(), monotonicNow());
         platform::Transaction transaction{.part = kOwnPart};
         transaction.expected.push_back({kControlTable, kTermKey, term.version});
         transaction.writes.push_back(
@@ -341,7 +341,7 @@
 
     void finishStop()
     {
-        if (m_callers->busy() == 0 || bootNow() >= m_stopLatest) {
+        if (m_callers->busy() == 0 || monotonicNow() >= m_stopLatest) {
             m_io.stop();
             return;
         }
--- a/src/node/hostkeeper.cpp
+++ b/src/node/hostkeeper.cpp
@@ -24,22 +24,22 @@
 constexpr Millis kPauseSlack{200};
 constexpr const char *kIntentKey = "host-orders";
 
-const char *nameOf(HostOrderResult result)
+const char *nameOf(HostCommandResult result)
 {
     switch (result) {
-    case HostOrderResult::Done:
+    case HostCommandResult::Done:
         return "done";
-    case HostOrderResult::Busy:
+    case HostCommandResult::Busy:
         return "busy";
-    case HostOrderResult::NotOfWave:
+    case HostCommandResult::NotOfWave:
         return "not_of_wave";
-    case HostOrderResult::Fenced:
+    case HostCommandResult::Fenced:
         return "fenced";
-    case HostOrderResult::Invalid:
+    case HostCommandResult::Invalid:
         return "invalid";
-    case HostOrderResult::Refused:
+    case HostCommandResult::Refused:
         return "refused";
-    case HostOrderResult::Unknown:
+    case HostCommandResult::Unknown:
         return "outcome_unknown";
     }
     return "unnamed";
@@ -105,7 +105,7 @@
 
 void HostKeeper::takeIntents(const platform::ReadResult &result)
 {
-    const Instant now = bootNow();
+    const Instant now = monotonicNow();
     m_areIntentsRead = true;
     for (const platform::TableRow &row : result.rows) {
         try {
@@ -122,7 +122,7 @@
 
 /// Orders to hosts are written down before they are sent, so that a next owner knows which hosts
 /// to leave alone for a while.
-void HostKeeper::announce(const std::vector<HostOrder> &orders, Instant now)
+void HostKeeper::announce(const std::vector<HostCommand> &orders, Instant now)
 {
     if (orders.empty())
         return;
@@ -130,8 +130,8 @@
     std::erase_if(m_intents, [&](const auto &entry) {
         return entry.second + 2 * m_settings.hostOrderPause.count() < time;
     });
-    std::vector<std::pair<HostOrder, WorkerId>> pending;
-    for (const HostOrder &order : orders) {
+    std::vector<std::pair<HostCommand, WorkerId>> pending;
+    for (const HostCommand &order : orders) {
         const WorkerId worker = m_workers[order.host];
         m_intents[order.host] = time;
         m_scheduler.setEnding(worker, true);
@@ -150,12 +150,12 @@
                              return;
                          const bool maySend = result.outcome
                                  == platform::TransactionResult::Outcome::Done
-                             && self->m_ownership.mayAct(bootNow());
+                             && self->m_ownership.maySendCommands(monotonicNow());
                          for (const auto &[order, worker] : pending) {
                              if (maySend)
                                  self->send(order, worker);
                              else
-                                 self->answered(order, worker, HostOrderResult::Refused);
+                                 self->answered(order, worker, HostCommandResult::Refused);
                          }
                      });
 }
@@ -168,13 +168,13 @@
 
 bool HostKeeper::isWaiting() const
 {
-    return m_planner.isWaiting(bootNow());
+    return m_planner.hasPendingChanges(monotonicNow());
 }
 
 void HostKeeper::readList()
 {
     m_client.list([weak = weak_from_this(),
-                   asked = bootNow()](const std::optional<std::vector<HostInfo>> &hosts) {
+                   asked = monotonicNow()](const std::optional<std::vector<HostInfo>> &hosts) {
         const auto self = weak.lock();
         if (!self || self->m_isStopped)
             return;
@@ -193,9 +193,9 @@
 
 void HostKeeper::takeList(const std::vector<HostInfo> &hosts, Instant asked)
 {
-    const Instant now = bootNow();
-    m_planner.takeHosts(hosts, now);
-    for (const OrderedLives::Verdict &verdict : m_lives.judge(hosts, asked)) {
+    const Instant now = monotonicNow();
+    m_planner.updateHosts(hosts, now);
+    for (const WorkerEndVerifier::Verdict &verdict : m_lives.verify(hosts, asked)) {
         if (verdict.hasEnded) {
             m_scheduler.workerEnded(verdict.worker, now);
             continue;
@@ -231,16 +231,16 @@
     m_states[host.id] = host.state;
 }
 
-WorkerUse HostKeeper::useOf(WorkerId id) const
+WorkerUsage HostKeeper::useOf(WorkerId id) const
 {
     const auto found = m_scheduler.workers().find(id);
     if (found == m_scheduler.workers().end())
         return {};
     constexpr double kMilli = 1000;
     const WorkerState &worker = found->second;
-    WorkerUse use{.isKnown = worker.isListed && worker.isRead && !worker.isEnding,
-                  .isEmpty = worker.runs.empty(),
-                  .mayInterrupt = m_scheduler.mayInterrupt(id)};
+    WorkerUsage use{.isKnown = worker.isListed && worker.isRead && !worker.isEnding,
+                    .isEmpty = worker.runs.empty(),
+                    .mayInterrupt = m_scheduler.mayInterrupt(id)};
     for (const WorkerRun &run : worker.runs) {
         if (!run.isLongRunning)
             use.batchCores += std::max(1.0, static_cast<double>(run.need.milliCores) / kMilli);
@@ -263,16 +263,16 @@
     const HostPlanner::Plan plan = m_planner.plan(
         m_scheduler.poolDemands(now), [this](WorkerId worker) { return useOf(worker); }, now);
     m_scheduler.cordon(plan.cordoned);
-    m_scheduler.setDueSoon(plan.dueSoon);
+    m_scheduler.setDueSoon(plan.awaitingMaintenance);
     m_scheduler.evacuate(plan.evacuated, now);
-    announce(plan.orders, now);
+    announce(plan.commands, now);
     for (const auto &[wave, isCompleted] : plan.waveStates)
         m_unpublished[wave] = isCompleted;
     publish();
     recordMaintained(now);
 }
 
-void HostKeeper::send(const HostOrder &order, WorkerId worker)
+void HostKeeper::send(const HostCommand &order, WorkerId worker)
 {
     logInfo("host_ordered",
             {{"host", order.host.name()},
@@ -280,7 +280,7 @@
              {"pool", order.pool.name()},
              {"wave", std::to_string(order.wave)},
              {"reason", order.reason}});
-    const auto done = [weak = weak_from_this(), order, worker](HostOrderResult result) {
+    const auto done = [weak = weak_from_this(), order, worker](HostCommandResult result) {
         const auto self = weak.lock();
         if (self && !self->m_isStopped)
             self->answered(order, worker, result);
@@ -292,14 +292,15 @@
         m_client.maintain(order.host, order.wave, token, done);
 }
 
-void HostKeeper::answered(const HostOrder &order, WorkerId worker, HostOrderResult result)
+void HostKeeper::answered(const HostCommand &order, WorkerId worker, HostCommandResult result)
 {
-    const Instant now = bootNow();
-    logFields("host_order_answered", result != HostOrderResult::Done,
+    const Instant now = monotonicNow();
+    logFields("host_order_answered", result != HostCommandResult::Done,
               {{"host", order.host.name()}, {"result", nameOf(result)}});
-    m_planner.orderAnswered(order, result, now);
-    if (result == HostOrderResult::Done)
-        m_lives.orderDone(order.host, worker, now); // the next list tells whether it ended just now
+    m_planner.commandAnswered(order, result, now);
+    if (result == HostCommandResult::Done)
+        m_lives.commandDone(order.host, worker,
+                            now); // the next list tells whether it ended just now
     else
         m_scheduler.setEnding(worker, false);
 }
--- a/src/node/hostkeeper.h
+++ b/src/node/hostkeeper.h
@@ -7,7 +7,7 @@
 #include "../../platform/tableclient.h"
 
 #include "oleanderhall/maintenance/hostplanner.h"
-#include "oleanderhall/maintenance/orderedlives.h"
+#include "oleanderhall/maintenance/workerendverifier.h"
 #include "oleanderhall/ownership/ownership.h"
 #include "oleanderhall/scheduling/scheduler.h"
 
@@ -39,12 +39,12 @@
     void readList();
     void readIntents();
     void takeIntents(const platform::ReadResult &result);
-    void announce(const std::vector<HostOrder> &orders, Instant now);
+    void announce(const std::vector<HostCommand> &orders, Instant now);
     void takeList(const std::vector<HostInfo> &hosts, Instant asked);
-    void send(const HostOrder &order, WorkerId worker);
-    void answered(const HostOrder &order, WorkerId worker, HostOrderResult result);
+    void send(const HostCommand &order, WorkerId worker);
+    void answered(const HostCommand &order, WorkerId worker, HostCommandResult result);
     void noteState(const HostInfo &host);
-    WorkerUse useOf(WorkerId worker) const;
+    WorkerUsage useOf(WorkerId worker) const;
     void recordMaintained(Instant now);
     void publish();
 
@@ -55,7 +55,7 @@
     Scheduler &m_scheduler;
     platform::HostClient m_client;
     HostPlanner m_planner;
-    OrderedLives m_lives;
+    WorkerEndVerifier m_lives;
     std::map<HostId, WorkerId> m_workers; ///< By host, as last listed.
     std::map<HostId, HostInfo::State> m_states;
     boost::asio::steady_timer m_listTimer;
--- a/src/node/jobwriter.cpp
+++ b/src/node/jobwriter.cpp
@@ -33,7 +33,7 @@
 void JobWriter::store(const JobSpec &job, Instant latest, Done done)
 {
     const auto known = m_jobs.find(job.id);
-    if (known == m_jobs.end() && bootNow() + m_storeTime.expected(bootNow()) > latest) {
+    if (known == m_jobs.end() && monotonicNow() + m_storeTime.estimate(monotonicNow()) > latest) {
         done(StoreOutcome::Refused, 0); // it would only be known later that it was in vain
         return;
     }
@@ -76,7 +76,7 @@
 /// Answers the callers whose time has run out. A job that was never sent is dropped with them.
 void JobWriter::giveUpLate()
 {
-    const Instant now = bootNow();
+    const Instant now = monotonicNow();
     std::vector<std::pair<Done, StoreOutcome>> late;
     for (const auto &[id, waiting] : m_jobs) {
         const bool isQueued = std::find(m_queue.begin(), m_queue.end(), waiting) != m_queue.end();
@@ -118,7 +118,7 @@
         transaction.writes.push_back({kProgressTable, progressKey, waiting->progress});
     }
     m_isInFlight = true;
-    m_storeTime.sent(bootNow());
+    m_storeTime.onSent(monotonicNow());
     m_table.transact(transaction, kCallTime,
                      [this, batch = std::move(batch)](const platform::TransactionResult &result) {
                          answered(batch, result);
@@ -129,7 +129,7 @@
 {
     using Outcome = platform::TransactionResult::Outcome;
     m_isInFlight = false;
-    m_storeTime.ended(bootNow());
+    m_storeTime.onCompleted(monotonicNow());
     std::set<std::string> present;
     if (result.outcome == Outcome::Conflict) {
         for (const platform::TableRow &row : result.rows) {
--- a/src/node/jobwriter.h
+++ b/src/node/jobwriter.h
@@ -4,7 +4,7 @@
 
 #include "oleanderhall/core/time.h"
 #include "oleanderhall/jobs/jobspec.h"
-#include "oleanderhall/jobs/storetime.h"
+#include "oleanderhall/jobs/storetimeestimator.h"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -41,7 +41,7 @@
     void store(const JobSpec &job, Instant latest, Done done);
 
     /// Returns the time until a job that arrives now is stored, as far as is known.
-    Millis expected(Instant now) const { return m_storeTime.expected(now); }
+    Millis expected(Instant now) const { return m_storeTime.estimate(now); }
 
 private:
     struct Caller
@@ -73,7 +73,7 @@
     std::map<JobId, WaitingPtr> m_jobs; ///< Queued or under way.
     std::deque<WaitingPtr> m_queue;
     bool m_isInFlight = false;
-    StoreTime m_storeTime;
+    StoreTimeEstimator m_storeTime;
     bool m_isPausing = false;
     bool m_isWatching = false;
 };
--- a/src/node/owner.cpp
+++ b/src/node/owner.cpp
@@ -40,7 +40,7 @@
     , m_view(view)
     , m_metrics(metrics)
     , m_term(ownership.term())
-    , m_scheduler(schedulerSettings(settings), m_term.generation - 1, bootNow())
+    , m_scheduler(schedulerSettings(settings), m_term.generation - 1, monotonicNow())
     , m_workers(io, metrics, m_term.version)
     , m_timer(io)
     , m_listTimer(io)
@@ -118,12 +118,12 @@
 void Owner::step()
 {
     m_isWakePosted = false;
-    const Instant now = bootNow();
-    if (m_isLoaded && m_areWorkersListed && m_ownership.mayExtend(now)) {
-        if (m_hosts && m_ownership.mayAct(now))
+    const Instant now = monotonicNow();
+    if (m_isLoaded && m_areWorkersListed && m_ownership.mayExtendLeases(now)) {
+        if (m_hosts && m_ownership.maySendCommands(now))
             m_hosts->step(now);
-        std::vector<SchedulerAction> actions = m_scheduler.tick(now, wallMs(),
-                                                                m_ownership.mayAct(now));
+        std::vector<SchedulerAction> actions = m_scheduler.tick(now, wallClockMs(),
+                                                                m_ownership.maySendCommands(now));
         carryOut(actions);
         logDecisions();
     }
@@ -162,7 +162,7 @@
                         if (!self || self->m_isStopped)
                             return;
                         self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-                        self->m_scheduler.startAnswered(order, result, bootNow());
+                        self->m_scheduler.startAnswered(order, result, monotonicNow());
                         self->wake();
                     });
 }
@@ -175,7 +175,7 @@
                        if (!self || self->m_isStopped)
                            return;
                        self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-                       self->m_scheduler.stopAnswered(order, result, bootNow());
+                       self->m_scheduler.stopAnswered(order, result, monotonicNow());
                        self->wake();
                    });
 }
@@ -187,7 +187,7 @@
                        const auto self = weak.lock();
                        if (!self || self->m_isStopped)
                            return;
-                       self->m_scheduler.paceAnswered(order, result, bootNow());
+                       self->m_scheduler.paceAnswered(order, result, monotonicNow());
                        self->wake();
                    });
 }
@@ -201,7 +201,7 @@
             if (!self || self->m_isStopped)
                 return;
             self->m_isDeposed = self->m_isDeposed || result == CallResult::Fenced;
-            self->m_scheduler.lookAnswered(order, result, look, sent, bootNow());
+            self->m_scheduler.lookAnswered(order, result, look, sent, monotonicNow());
             self->wake();
         });
 }
@@ -218,7 +218,7 @@
                           return;
                       self->m_scheduler.adviceAnswered(
                           order, tickets.has_value(),
-                          tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
+                          tickets.value_or(platform::AdviceClient::Tickets{}), monotonicNow());
                       self->wake();
                   });
 }
@@ -270,7 +270,7 @@
                              if (--self->m_recordsInFlight > 0)
                                  return;
                              self->m_scheduler.recordAnswered(number, self->m_areRecordsDone,
-                                                              bootNow());
+                                                              monotonicNow());
                              self->wake();
                          });
     }
--- a/src/node/ownerloading.cpp
+++ b/src/node/ownerloading.cpp
@@ -116,7 +116,7 @@
 
 void Owner::takeJobs(const TableFollower::Update &update)
 {
-    const Instant now = bootNow();
+    const Instant now = monotonicNow();
     std::vector<JobId> cancelled;
     const bool isFirst = update.isWhole && !m_isLoaded;
     for (const platform::TableRow &row : update.rows) {
@@ -184,7 +184,7 @@
             logWarning("worker_entry_unreadable", {{"key", row.key}, {"reason", error.what()}});
         }
     }
-    m_scheduler.listWorkers(workers, bootNow());
+    m_scheduler.listWorkers(workers, monotonicNow());
     m_areWorkersListed = true;
     wake();
 }
--- a/src/node/viewupdate.cpp
+++ b/src/node/viewupdate.cpp
@@ -51,7 +51,7 @@
         view.report.waiting.clear();
         for (const auto &[queue, waiting] : record.at("waiting").as_object())
             view.report.waiting[queue] = waiting.as_number().to_int64();
-        view.report.heard = bootNow();
+        view.report.heard = monotonicNow();
     } catch (const web::json::json_exception &error) {
         logWarning("report_unreadable", {{"reason", error.what()}});
     }
@@ -78,7 +78,7 @@
             takeConfig(view, platform::decodeConfiguration(row.value));
         } else if (const auto wave = platform::decodeWave(row.key, row.value)) {
             view.waves[wave->number] = *wave;
-            view.waveSeen.try_emplace(wave->number, bootNow());
+            view.waveSeen.try_emplace(wave->number, monotonicNow());
         }
     } catch (const std::exception &error) {
         logWarning("operator_row_unreadable", {{"key", row.key}, {"reason", error.what()}});
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -87,7 +87,7 @@
     HostObservation seen{.health = Health::Fit};
     seen.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kLargest))};
     seen.bootEpoch = {static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kLargest))};
-    cursor.each("tasks", true, [&seen](const JsonCursor &task) {
+    cursor.forEach("tasks", true, [&seen](const JsonCursor &task) {
         ++seen.activeInstances;
         const std::string service = task.text("service");
         if (task.text("state") == "running")
--- a/src/register/registerparser.cpp
+++ b/src/register/registerparser.cpp
@@ -156,10 +156,10 @@
         .connections = static_cast<int>(cursor.number("connections", 1, kMaxConnections)),
         .defaultTimeout = Millis(cursor.numberOr("defaultTimeoutMs", 1, kMaxTimeoutMs, 2000)),
     };
-    cursor.each("unrepeatable", false, [&rule](const JsonCursor &call) {
+    cursor.forEach("unrepeatable", false, [&rule](const JsonCursor &call) {
         rule.unrepeatable.push_back(parseUnrepeatableCall(call));
     });
-    cursor.each("notRunStatuses", false, [&rule](const JsonCursor &status) {
+    cursor.forEach("notRunStatuses", false, [&rule](const JsonCursor &status) {
         status.allowOnly({"status"});
         const auto code = status.number("status", kLowestStatus, kHighestStatus);
         rule.notRunStatuses.push_back(static_cast<int>(code));
@@ -182,13 +182,15 @@
     cursor.allowOnly(
         {"hosts", "removedHosts", "pools", "removedPools", "services", "removedServices", "wave"});
     RegisterPatch patch;
-    cursor.each("hosts", false,
-                [&](const JsonCursor &item) { patch.hosts.push_back(parseHostSpec(item)); });
-    cursor.each("pools", false,
-                [&](const JsonCursor &item) { patch.pools.push_back(parsePoolRule(item)); });
-    cursor.each("services", false,
-                [&](const JsonCursor &item) { patch.services.push_back(parseServiceRule(item)); });
-    cursor.with("wave", [&](const JsonCursor &item) { patch.wave.push_back(parseWaveRule(item)); });
+    cursor.forEach("hosts", false,
+                   [&](const JsonCursor &item) { patch.hosts.push_back(parseHostSpec(item)); });
+    cursor.forEach("pools", false,
+                   [&](const JsonCursor &item) { patch.pools.push_back(parsePoolRule(item)); });
+    cursor.forEach("services", false, [&](const JsonCursor &item) {
+        patch.services.push_back(parseServiceRule(item));
+    });
+    cursor.ifPresent("wave",
+                     [&](const JsonCursor &item) { patch.wave.push_back(parseWaveRule(item)); });
     parseNames(cursor, "removedHosts", patch.removedHosts);
     parseNames(cursor, "removedPools", patch.removedPools);
     parseNames(cursor, "removedServices", patch.removedServices);
@@ -252,17 +254,17 @@
     rulesCursor.allowOnly({"schema", "pools", "services", "wave"});
     checkSchema(hostsCursor);
     checkSchema(rulesCursor);
-    hostsCursor.each("hosts", true, [&result](const JsonCursor &item) {
+    hostsCursor.forEach("hosts", true, [&result](const JsonCursor &item) {
         addUnique(result.hosts, parseHostSpec(item), item);
     });
-    rulesCursor.each("pools", true, [&result](const JsonCursor &item) {
+    rulesCursor.forEach("pools", true, [&result](const JsonCursor &item) {
         addUnique(result.pools, parsePoolRule(item), item);
     });
-    rulesCursor.each("services", true, [&result](const JsonCursor &item) {
+    rulesCursor.forEach("services", true, [&result](const JsonCursor &item) {
         addUnique(result.services, parseServiceRule(item), item);
     });
-    rulesCursor.with("wave",
-                     [&result](const JsonCursor &item) { result.wave = parseWaveRule(item); });
+    rulesCursor.ifPresent("wave",
+                          [&result](const JsonCursor &item) { result.wave = parseWaveRule(item); });
     if (findings.empty())
         checkRegister(result, rules.name, findings);
     if (!findings.empty())
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -19,13 +19,13 @@
     , m_begun(now)
 {}
 
-void Scheduler::setQueues(ConfigVersion version, const std::vector<QueueRule> &queues)
+void Scheduler::setQueues(ConfigVersion version, const std::vector<QueueConfig> &queues)
 {
     if (version < m_version)
         return;
     m_version = version;
     m_queues.clear();
-    for (const QueueRule &queue : queues)
+    for (const QueueConfig &queue : queues)
         m_queues[queue.name] = queue;
     for (auto &[id, job] : m_jobs) {
         const auto found = m_queues.find(job.spec.queue.name);
--- a/src/scheduling/schedulerbudget.cpp
+++ b/src/scheduling/schedulerbudget.cpp
@@ -45,7 +45,7 @@
             const StepPresence presence = presenceOf(run.task, id);
             const int itself = run.percent >= kAtWork && found->second.failures == 0 ? 1 : 0;
             const int others = presence.elsewhere + presence.here - itself;
-            if (spec->mayMiss >= 0 && spec->count - others > spec->mayMiss)
+            if (spec->maxDisrupted >= 0 && spec->count - others > spec->maxDisrupted)
                 continue;
             decided({"run_evacuated", {{"task", textOf(run.task)}, {"worker", id.name()}}});
             requestStop(run, now);
@@ -64,11 +64,11 @@
         const StepSpec *spec = findSpec(run.task);
         if (!run.isLongRunning || !spec)
             return false;
-        if (spec->mayMiss < 0)
+        if (spec->maxDisrupted < 0)
             continue;
         // All that are here end together.
         const StepPresence presence = presenceOf(run.task, id);
-        if (presence.mayBeHere > 0 && spec->count - presence.elsewhere > spec->mayMiss)
+        if (presence.mayBeHere > 0 && spec->count - presence.elsewhere > spec->maxDisrupted)
             return false;
     }
     return true;
--- a/src/scheduling/schedulerdemand.cpp
+++ b/src/scheduling/schedulerdemand.cpp
@@ -42,7 +42,7 @@
                         demands[pool].leastHosts = std::max(demands[pool].leastHosts,
                                                             (step.count + each - 1) / each);
                     }
-                    if (!step.fills)
+                    if (!step.usesIdleCores)
                         demands[pool].longRunningCores += step.count
                             * static_cast<double>(step.need.milliCores) / kMilli;
                 }
--- a/src/scheduling/schedulerlooks.cpp
+++ b/src/scheduling/schedulerlooks.cpp
@@ -82,7 +82,7 @@
     run.recentLoad = row.recentLoad;
     if (spec) {
         run.need = spec->need;
-        run.fills = spec->fills;
+        run.fills = spec->usesIdleCores;
         run.isLongRunning = spec->isLongRunning;
         run.latencyTarget = spec->latencyTarget;
         if (run.fills)
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -273,7 +273,7 @@
 {
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(step)];
     Resources need = spec.need;
-    if (spec.fills)
+    if (spec.usesIdleCores)
         need.milliCores = 0;
     WorkerState *best = nullptr;
     double bestScore = 0;
@@ -305,12 +305,12 @@
             score += 100;
         if (spec.isLongRunning && m_dueSoon.contains(id))
             score -= 50;
-        if (spec.isLongRunning && spec.mayMiss >= 0)
+        if (spec.isLongRunning && spec.maxDisrupted >= 0)
             score -= 30.0 * std::max(0, alike - 1); // a lost host should not take most of them
         const auto capacity = static_cast<double>(
             std::max<std::int64_t>(worker.report.capacity.milliCores, 1));
         const double free = static_cast<double>(worker.room().milliCores) / capacity;
-        if (spec.fills)
+        if (spec.usesIdleCores)
             score += 10.0 * free - 20.0 * serving;
         else if (spec.latencyTarget.count() > 0)
             score += 10.0 * free - 20.0 * filling;
@@ -332,9 +332,9 @@
     TaskRun &task = step.tasks[static_cast<std::size_t>(id.index)];
     WorkerRun run{.task = id, .run = number};
     run.need = spec.need;
-    if (spec.fills)
+    if (spec.usesIdleCores)
         run.need.milliCores = 0;
-    run.fills = spec.fills;
+    run.fills = spec.usesIdleCores;
     run.isLongRunning = spec.isLongRunning;
     run.latencyTarget = spec.latencyTarget;
     run.ordered = now;
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -53,6 +53,6 @@
         FindingList findings;
         parseSocketAddress(text, "--callers", findings);
         REQUIRE(findings.items().size() == 1);
-        CHECK(findings.items()[0].place == "--callers");
+        CHECK(findings.items()[0].location == "--callers");
     }
 }
--- a/tests/jobs/codec_test.cpp
+++ b/tests/jobs/codec_test.cpp
@@ -50,7 +50,7 @@
     job.queue.maxAttempts = 4;
     job.queue.stretch = 1.6;
     job.queue.allowance = Millis(600);
-    job.queue.advice = AdviceRule{Millis(1), Millis(2), Millis(3)};
+    job.queue.advice = AdviceConfig{Millis(1), Millis(2), Millis(3)};
     job.config = {12};
     job.payload = "text \" with quotes";
     job.occurrences = 3;
@@ -58,13 +58,13 @@
     job.intervalMs = 2000;
     job.acceptedMs = 42;
     StepSpec step{.count = 7, .need = {1500, 2048, 1}, .estimate = Millis(900), .after = {0, 1}};
-    step.savesProgress = step.isGang = step.isLongRunning = step.fills = true;
+    step.savesProgress = step.isGang = step.isLongRunning = step.usesIdleCores = true;
     step.requiredLabel = "a";
     step.dataRack = "r1-3";
     step.maxPerWorker = 2;
     step.image = "img";
     step.latencyTarget = Millis(80);
-    step.mayMiss = 1;
+    step.maxDisrupted = 1;
     job.steps = {step};
     const auto read = decodeJob({9}, encodeJob(job));
     REQUIRE(read);
--- a/tests/jobs/storetime_test.cpp
+++ b/tests/jobs/storetimeestimator_test.cpp
@@ -1,6 +1,6 @@
 // Pattern: the table turns slow for some seconds while jobs keep arriving, each with a caller that
 // waits 2.2 s and comes back when a refusal says so, at the earliest after a second.
-#include "oleanderhall/jobs/storetime.h"
+#include "oleanderhall/jobs/storetimeestimator.h"
 
 #include <catch2/catch.hpp>
 
@@ -38,7 +38,7 @@
         int triesLeft = kTries;
     };
     const auto at = [](int ms) { return Instant(std::chrono::hours(1)) + Millis(ms); };
-    StoreTime time;
+    StoreTimeEstimator time;
     Outcome outcome;
     std::deque<Caller> arriving;
     for (int now = 0; now < kEnd - 4000; now += kArrivalGap)
@@ -48,13 +48,13 @@
     int ends = -1;
     const auto refuse = [&](Caller caller, int now) {
         outcome.heldInVain += now - caller.from;
-        const int expected = refusesEarly ? static_cast<int>(time.expected(at(now)).count()) : 0;
+        const int expected = refusesEarly ? static_cast<int>(time.estimate(at(now)).count()) : 0;
         if (--caller.triesLeft > 0)
             arriving.push_back({now + std::max(kComeBack, expected), caller.triesLeft});
     };
     for (int now = 0; now < kEnd; ++now) {
         if (ends == now) {
-            time.ended(at(now));
+            time.onCompleted(at(now));
             for (const Caller &caller : inFlight)
                 outcome.stored += now - caller.from <= kPatience ? 1 : 0;
             for (const Caller &caller : inFlight) {
@@ -69,7 +69,7 @@
             arriving.pop_front();
             if (caller.from > now)
                 arriving.push_back(caller);
-            else if (refusesEarly && time.expected(at(now)) > Millis(kPatience))
+            else if (refusesEarly && time.estimate(at(now)) > Millis(kPatience))
                 refuse(caller, now);
             else
                 queue.push_back(caller);
@@ -84,7 +84,7 @@
         queue = std::move(waiting);
         if (ends < 0 && !queue.empty()) {
             inFlight = std::exchange(queue, {});
-            time.sent(at(now));
+            time.onSent(at(now));
             const bool isSlow = now >= kSlowFrom && now < kSlowUntil;
             ends = now + (isSlow ? kSlowTime : kUsualTime);
         }
@@ -96,7 +96,7 @@
 {
 protected:
     Instant now{std::chrono::hours(1)};
-    StoreTime time;
+    StoreTimeEstimator time;
 };
 
 } // namespace
@@ -113,21 +113,21 @@
 
 TEST_CASE_METHOD(StoreTimeTest, "StoreTime_nothingInFlight_expectsNoWait", "[jobs]")
 {
-    time.sent(now);
-    time.ended(now + Millis(3000));
-    CHECK(time.expected(now + Millis(3000)) == Millis(0));
+    time.onSent(now);
+    time.onCompleted(now + Millis(3000));
+    CHECK(time.estimate(now + Millis(3000)) == Millis(0));
 }
 
 TEST_CASE_METHOD(StoreTimeTest, "StoreTime_inFlight_expectsTheRestAndOneMore", "[jobs]")
 {
-    time.sent(now);
-    time.ended(now + Millis(400));
-    time.sent(now + Millis(400));
-    CHECK(time.expected(now + Millis(500)) == Millis(700));
+    time.onSent(now);
+    time.onCompleted(now + Millis(400));
+    time.onSent(now + Millis(400));
+    CHECK(time.estimate(now + Millis(500)) == Millis(700));
 }
 
 TEST_CASE_METHOD(StoreTimeTest, "StoreTime_inFlightLongerThanTheLast_expectsAsLongAgain", "[jobs]")
 {
-    time.sent(now);
-    CHECK(time.expected(now + Millis(1500)) == Millis(1500));
+    time.onSent(now);
+    CHECK(time.estimate(now + Millis(1500)) == Millis(1500));
 }
--- a/tests/maintenance/hostplanner_test.cpp
+++ b/tests/maintenance/hostplanner_test.cpp
@@ -23,7 +23,7 @@
             add("c" + std::to_string(index), kCalm, HostInfo::State::Up);
             add("s" + std::to_string(index), kSpare, HostInfo::State::Up);
         }
-        planner.takeHosts(hosts, now);
+        planner.updateHosts(hosts, now);
         uses[WorkerId("")] = {}; // a host that is off has no worker
     }
 
@@ -45,10 +45,10 @@
             [this](WorkerId worker) { return uses[worker]; }, now);
     }
 
-    void answer(const HostPlanner::Plan &plan, HostOrderResult result = HostOrderResult::Done)
+    void answer(const HostPlanner::Plan &plan, HostCommandResult result = HostCommandResult::Done)
     {
-        for (const HostOrder &order : plan.orders)
-            planner.orderAnswered(order, result, now);
+        for (const HostCommand &order : plan.commands)
+            planner.commandAnswered(order, result, now);
     }
 
     Wave wave(std::vector<std::string> names, int maxAtOnce)
@@ -62,14 +62,14 @@
     static int moves(const HostPlanner::Plan &plan, ServiceId pool)
     {
         int count = 0;
-        for (const HostOrder &order : plan.orders)
+        for (const HostCommand &order : plan.commands)
             count += order.pool == pool ? 1 : 0;
         return count;
     }
 
     Instant now{std::chrono::hours(1)};
     std::vector<HostInfo> hosts;
-    std::map<WorkerId, WorkerUse> uses;
+    std::map<WorkerId, WorkerUsage> uses;
     HostPlanner planner{HostPlannerSettings{}};
 };
 
@@ -90,8 +90,8 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_orderTurnedAway_ordersAgain", "[hosts]")
 {
-    answer(plan(50, 30), HostOrderResult::Busy);
-    now += HostPlannerSettings{}.orderRetry;
+    answer(plan(50, 30), HostCommandResult::Busy);
+    now += HostPlannerSettings{}.commandRetryDelay;
     CHECK(moves(plan(50, 30), kBusy) == 2);
 }
 
@@ -113,8 +113,8 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_poolHasTooMany_givesThemBackAfterAWhile", "[hosts]")
 {
-    CHECK(plan(0, 30).orders.empty());
-    now += HostPlannerSettings{}.idleTime;
+    CHECK(plan(0, 30).commands.empty());
+    now += HostPlannerSettings{}.surplusTime;
     CHECK(moves(plan(0, 30), kSpare) == 1); // three stay, so that a lost rack leaves some
 }
 
@@ -122,8 +122,8 @@
 {
     answer(plan(50, 30));
     plan(0, 30);
-    now += HostPlannerSettings{}.idleTime;
-    for (const HostOrder &order : plan(0, 30).orders)
+    now += HostPlannerSettings{}.surplusTime;
+    for (const HostCommand &order : plan(0, 30).commands)
         CHECK(order.host.name().substr(0, 1) == "b");
 }
 
@@ -140,9 +140,9 @@
 {
     planner.addWave(wave({"b0", "b1", "b2", "c0"}, 2), now);
     const HostPlanner::Plan first = plan(20, 20);
-    CHECK(first.orders.size() == 2);
+    CHECK(first.commands.size() == 2);
     answer(first);
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_earlierOwnersMaintenanceUnderWay_countsForTheLimit",
@@ -152,7 +152,7 @@
     planner.addWave(wave({"b0", "b1", "b2", "c0"}, 2), now);
     planner.pause(HostId("b0"), now + Millis(3000));
     planner.pause(HostId("b1"), now + Millis(3000));
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_workerNotRead_isNotTakenForIdle", "[hosts]")
@@ -160,16 +160,16 @@
     // A new owner took hosts for empty whose workers it had not read (AVAIL, seven days).
     planner.addWave(wave({"b0"}, 1), now);
     uses[WorkerId("w-b0")] = {};
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
     uses[WorkerId("w-b0")] = {.isKnown = true};
-    CHECK(plan(20, 20).orders.size() == 1);
+    CHECK(plan(20, 20).commands.size() == 1);
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_budgetForbids_waitsWithMaintenance", "[hosts]")
 {
     planner.addWave(wave({"b0"}, 1), now);
     uses[WorkerId("w-b0")] = {.isKnown = true, .isEmpty = false, .mayInterrupt = false};
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_behindSchedule_evacuatesWhatBudgetsHold", "[hosts]")
@@ -189,7 +189,7 @@
     answer(result);
     now += Millis(10000);
     hosts[0].state = HostInfo::State::Up;
-    planner.takeHosts(hosts, now);
+    planner.updateHosts(hosts, now);
     result = plan(20, 20);
     CHECK(result.waveStates.empty());
     answer(result);
@@ -210,18 +210,18 @@
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_outcomeUnknown_ordersAgain", "[hosts]")
 {
     planner.addWave(wave({"b0"}, 1), now);
-    answer(plan(34, 34), HostOrderResult::Unknown);
+    answer(plan(34, 34), HostCommandResult::Unknown);
     now += Millis(5000);
-    CHECK(plan(34, 34).orders.size() == 1);
+    CHECK(plan(34, 34).commands.size() == 1);
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_poolOfOtherHosts_isNotTriedAgain", "[hosts]")
 {
     HostPlanner::Plan result = plan(50, 40);
-    answer(result, HostOrderResult::Invalid);
+    answer(result, HostCommandResult::Invalid);
     now += Millis(1000);
-    for (const HostOrder &order : plan(50, 40).orders) {
-        for (const HostOrder &refused : result.orders)
+    for (const HostCommand &order : plan(50, 40).commands) {
+        for (const HostCommand &refused : result.commands)
             CHECK_FALSE((order.host == refused.host && order.pool == refused.pool));
     }
 }
--- a/tests/maintenance/orderedlives_test.cpp
+++ b/tests/maintenance/workerendverifier_test.cpp
@@ -1,4 +1,4 @@
-#include "oleanderhall/maintenance/orderedlives.h"
+#include "oleanderhall/maintenance/workerendverifier.h"
 
 #include <catch2/catch.hpp>
 
@@ -9,17 +9,17 @@
 class OrderedLivesTest
 {
 protected:
-    OrderedLivesTest() { lives.orderDone(host, worker, now); }
+    OrderedLivesTest() { lives.commandDone(host, worker, now); }
 
-    std::vector<OrderedLives::Verdict> judge(HostInfo::State state, WorkerId listed)
+    std::vector<WorkerEndVerifier::Verdict> judge(HostInfo::State state, WorkerId listed)
     {
-        return lives.judge({{.id = host, .state = state, .worker = listed}}, now + Millis(1));
+        return lives.verify({{.id = host, .state = state, .worker = listed}}, now + Millis(1));
     }
 
     const HostId host{"h"};
     const WorkerId worker{"w"};
     Instant now{std::chrono::hours(1)};
-    OrderedLives lives;
+    WorkerEndVerifier lives;
 };
 
 } // namespace
@@ -51,7 +51,7 @@
 
 TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_hostNotListedAnyMore_workerHasEnded", "[hosts]")
 {
-    const auto verdicts = lives.judge({}, now + Millis(1));
+    const auto verdicts = lives.verify({}, now + Millis(1));
     REQUIRE(verdicts.size() == 1);
     CHECK(verdicts[0].hasEnded);
 }
@@ -59,7 +59,8 @@
 TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_listAskedForBeforeTheAnswer_tellsNothing",
                  "[hosts]")
 {
-    CHECK(lives.judge({{.id = host, .state = HostInfo::State::Up, .worker = worker}}, now).empty());
+    CHECK(
+        lives.verify({{.id = host, .state = HostInfo::State::Up, .worker = worker}}, now).empty());
     CHECK(judge(HostInfo::State::Maintenance, {}).size() == 1);
 }
 
--- a/tests/membership/membertable_test.cpp
+++ b/tests/membership/membertable_test.cpp
@@ -24,7 +24,7 @@
                 .zone = ZoneId("z"),
                 .peerAddress = "127.0.0.1:1",
                 .incarnation = "1",
-                .beat = beat};
+                .heartbeatCount = beat};
     }
 };
 
@@ -36,9 +36,9 @@
     table.update({row("a", 1), row("b", 1)}, {1}, now);
     now += Millis(4999);
     table.update({row("a", 2), row("b", 1)}, {1}, now);
-    CHECK(table.owners(now).size() == 2);
+    CHECK(table.ownerCandidates(now).size() == 2);
     now += Millis(1);
-    CHECK(table.owners(now) == std::vector<EntryId>{EntryId("a")});
+    CHECK(table.ownerCandidates(now) == std::vector<EntryId>{EntryId("a")});
     CHECK(table.observations(now)[1].lapsed);
 }
 
@@ -47,7 +47,7 @@
     MemberRow leaving = row("a", 1);
     leaving.leaving = true;
     table.update({leaving}, {1}, now);
-    CHECK(table.owners(now).empty());
+    CHECK(table.ownerCandidates(now).empty());
     CHECK(table.live(now).size() == 1);
 }
 
--- a/tests/ownership/ownership_test.cpp
+++ b/tests/ownership/ownership_test.cpp
@@ -12,8 +12,8 @@
     void advance(Millis time) { now += time; }
     void own()
     {
-        ownership.seen({}, 0, now);
-        REQUIRE(ownership.next(now) == Ownership::Step::TakeOver);
+        ownership.recordsRead({}, 0, now);
+        REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
         ownership.takeOverAnswered(true, 5, now, now);
     }
 
@@ -27,14 +27,14 @@
 TEST_CASE_METHOD(OwnershipTest, "Ownership_nothingSeen_doesNothing", "[ownership]")
 {
     advance(std::chrono::minutes(1));
-    CHECK(ownership.next(now) == Ownership::Step::None);
-    CHECK_FALSE(ownership.mayAct(now));
+    CHECK(ownership.nextStep(now) == Ownership::Step::None);
+    CHECK_FALSE(ownership.maySendCommands(now));
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_vacantTerm_takesOverAtOnce", "[ownership]")
 {
     own();
-    CHECK(ownership.mayAct(now));
+    CHECK(ownership.maySendCommands(now));
     CHECK(ownership.term().version == 5);
     CHECK(ownership.term().generation == 1);
 }
@@ -42,21 +42,21 @@
 TEST_CASE_METHOD(OwnershipTest, "Ownership_ownerRenews_isLeftAlone", "[ownership]")
 {
     for (std::uint64_t beat = 10; beat < 20; ++beat) {
-        ownership.seen({.owner = "other", .generation = 1, .version = 7}, beat, now);
+        ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, beat, now);
         advance(settings.lease - Millis(1));
-        CHECK(ownership.next(now) == Ownership::Step::None);
+        CHECK(ownership.nextStep(now) == Ownership::Step::None);
     }
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_ownerFallsSilent_takesOverAfterItsLease", "[ownership]")
 {
-    ownership.seen({.owner = "other", .generation = 1, .version = 7}, 10, now);
+    ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, 10, now);
     for (int half = 0; half < 2; ++half) {
-        CHECK(ownership.next(now) == Ownership::Step::None);
+        CHECK(ownership.nextStep(now) == Ownership::Step::None);
         advance(settings.lease / 2);
-        ownership.seen({.owner = "other", .generation = 1, .version = 7}, 10, now);
+        ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, 10, now);
     }
-    CHECK(ownership.next(now) == Ownership::Step::TakeOver);
+    CHECK(ownership.nextStep(now) == Ownership::Step::TakeOver);
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_renewalsFail_stopsOrdersBeforeOthersMayTakeOver",
@@ -64,87 +64,87 @@
 {
     own();
     const Instant renewed = now;
-    advance(settings.renewEvery);
-    REQUIRE(ownership.next(now) == Ownership::Step::Renew);
+    advance(settings.renewInterval);
+    REQUIRE(ownership.nextStep(now) == Ownership::Step::Renew);
     ownership.renewAnswered(false, false, 0, now, now);
-    CHECK(ownership.mayAct(renewed + settings.lease - settings.margin - Millis(1)));
-    CHECK_FALSE(ownership.mayAct(renewed + settings.lease - settings.margin));
-    CHECK(ownership.mayExtend(renewed + settings.extension - Millis(1)));
-    CHECK_FALSE(ownership.mayExtend(renewed + settings.extension));
+    CHECK(ownership.maySendCommands(renewed + settings.lease - settings.margin - Millis(1)));
+    CHECK_FALSE(ownership.maySendCommands(renewed + settings.lease - settings.margin));
+    CHECK(ownership.mayExtendLeases(renewed + settings.leaseExtensionTime - Millis(1)));
+    CHECK_FALSE(ownership.mayExtendLeases(renewed + settings.leaseExtensionTime));
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_slowRenewal_countsFromWhenItWasSent", "[ownership]")
 {
     own();
-    advance(settings.renewEvery);
+    advance(settings.renewInterval);
     const Instant sent = now;
-    REQUIRE(ownership.next(now) == Ownership::Step::Renew);
+    REQUIRE(ownership.nextStep(now) == Ownership::Step::Renew);
     advance(Millis(900));
     ownership.renewAnswered(true, false, 9, sent, now);
-    CHECK_FALSE(ownership.mayAct(sent + settings.lease - settings.margin));
+    CHECK_FALSE(ownership.maySendCommands(sent + settings.lease - settings.margin));
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_anotherTermSeen_endsOwnership", "[ownership]")
 {
     own();
-    ownership.seen({.owner = "other", .generation = 2, .version = 8}, 8, now);
+    ownership.recordsRead({.owner = "other", .generation = 2, .version = 8}, 8, now);
     CHECK_FALSE(ownership.isOwner());
-    CHECK_FALSE(ownership.mayAct(now));
+    CHECK_FALSE(ownership.maySendCommands(now));
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_overtakenAnswer_changesNothing", "[ownership]")
 {
     own();
-    ownership.seen({.owner = "earlier", .generation = 0, .version = 2}, 3, now);
+    ownership.recordsRead({.owner = "earlier", .generation = 0, .version = 2}, 3, now);
     CHECK(ownership.isOwner());
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_resigned_doesNotTakeOverAgain", "[ownership]")
 {
-    ownership.seen({}, 0, now);
+    ownership.recordsRead({}, 0, now);
     ownership.resign();
     advance(std::chrono::minutes(1));
-    CHECK(ownership.next(now) == Ownership::Step::None);
+    CHECK(ownership.nextStep(now) == Ownership::Step::None);
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_takeOverRefused_triesAgainLater", "[ownership]")
 {
-    ownership.seen({}, 0, now);
-    REQUIRE(ownership.next(now) == Ownership::Step::TakeOver);
-    CHECK(ownership.next(now) == Ownership::Step::None);
+    ownership.recordsRead({}, 0, now);
+    REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
+    CHECK(ownership.nextStep(now) == Ownership::Step::None);
     ownership.takeOverAnswered(false, 0, now, now);
-    CHECK(ownership.next(now) == Ownership::Step::None);
-    advance(settings.retry);
-    CHECK(ownership.next(now) == Ownership::Step::TakeOver);
+    CHECK(ownership.nextStep(now) == Ownership::Step::None);
+    advance(settings.retryDelay);
+    CHECK(ownership.nextStep(now) == Ownership::Step::TakeOver);
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_tableBackAfterOutage_leavesItToTheOwner", "[ownership]")
 {
     const TermRecord term{.owner = "other", .generation = 1, .version = 7};
-    ownership.seen(term, 10, now);
+    ownership.recordsRead(term, 10, now);
     for (int quarter = 0; quarter < 16; ++quarter) { // the table answers nobody
         advance(Millis(250));
-        CHECK(ownership.next(now) == Ownership::Step::None);
+        CHECK(ownership.nextStep(now) == Ownership::Step::None);
     }
-    ownership.seen(term, 10, now);
-    CHECK(ownership.next(now) == Ownership::Step::None);
+    ownership.recordsRead(term, 10, now);
+    CHECK(ownership.nextStep(now) == Ownership::Step::None);
     // The owner did not come back with the table.
     const Instant back = now;
     while (now < back + settings.lease) {
-        CHECK(ownership.next(now) == Ownership::Step::None);
+        CHECK(ownership.nextStep(now) == Ownership::Step::None);
         advance(Millis(500));
-        ownership.seen(term, 10, now);
+        ownership.recordsRead(term, 10, now);
     }
-    CHECK(ownership.next(now) == Ownership::Step::TakeOver);
+    CHECK(ownership.nextStep(now) == Ownership::Step::TakeOver);
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_ownRowSeenBeforeTheAnswer_countsOneGeneration",
                  "[ownership]")
 {
     // Run numbers follow from the generation: two owners must never share one.
-    ownership.seen({.owner = "", .generation = 4, .version = 7}, 0, now);
-    REQUIRE(ownership.next(now) == Ownership::Step::TakeOver);
-    ownership.seen({.owner = "self", .generation = 5, .version = 8}, 8, now);
+    ownership.recordsRead({.owner = "", .generation = 4, .version = 7}, 0, now);
+    REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
+    ownership.recordsRead({.owner = "self", .generation = 5, .version = 8}, 8, now);
     ownership.takeOverAnswered(true, 8, now, now);
     CHECK(ownership.term().generation == 5);
 }
@@ -161,27 +161,27 @@
     const auto wait = [&](Millis time) {
         for (Millis left = time; left > Millis(0); left -= Millis(500)) {
             advance(Millis(500));
-            weak.seen(term, 10, now);
-            strong.seen(term, 10, now);
+            weak.recordsRead(term, 10, now);
+            strong.recordsRead(term, 10, now);
         }
     };
-    weak.seen(term, 10, now);
-    strong.seen(term, 10, now);
+    weak.recordsRead(term, 10, now);
+    strong.recordsRead(term, 10, now);
     wait(settings.lease);
-    CHECK(weak.next(now) == Ownership::Step::None);
-    CHECK(strong.next(now) == Ownership::Step::TakeOver);
-    wait(settings.weakerDelay);
-    CHECK(weak.next(now) == Ownership::Step::TakeOver); // no strong one is left
+    CHECK(weak.nextStep(now) == Ownership::Step::None);
+    CHECK(strong.nextStep(now) == Ownership::Step::TakeOver);
+    wait(settings.belowOwnerDelay);
+    CHECK(weak.nextStep(now) == Ownership::Step::TakeOver); // no strong one is left
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_weakerAtHandOver_leavesItToTheStrong", "[ownership]")
 {
     settings.processorShare = 0.12;
     Ownership weak{"weak", settings, now};
-    weak.seen({.generation = 1, .version = 7, .processorShare = 0.5}, 10, now);
-    CHECK(weak.next(now) == Ownership::Step::None);
-    advance(settings.weakerDelay);
-    CHECK(weak.next(now) == Ownership::Step::TakeOver);
+    weak.recordsRead({.generation = 1, .version = 7, .processorShare = 0.5}, 10, now);
+    CHECK(weak.nextStep(now) == Ownership::Step::None);
+    advance(settings.belowOwnerDelay);
+    CHECK(weak.nextStep(now) == Ownership::Step::TakeOver);
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_lastOwnerAsWeak_takesOverSoonAfterTheStrong",
@@ -190,12 +190,12 @@
     settings.processorShare = 0.12;
     Ownership weak{"weak", settings, now};
     const TermRecord term{.owner = "other", .generation = 1, .version = 7, .processorShare = 0.12};
-    weak.seen(term, 10, now);
+    weak.recordsRead(term, 10, now);
     for (int half = 0; half < 2; ++half) {
         advance(settings.lease / 2);
-        weak.seen(term, 10, now);
+        weak.recordsRead(term, 10, now);
     }
-    CHECK(weak.next(now) == Ownership::Step::None);
-    advance(settings.weakDelay);
-    CHECK(weak.next(now) == Ownership::Step::TakeOver);
+    CHECK(weak.nextStep(now) == Ownership::Step::None);
+    advance(settings.lowShareDelay);
+    CHECK(weak.nextStep(now) == Ownership::Step::TakeOver);
 }
--- a/tests/platform/decoders_test.cpp
+++ b/tests/platform/decoders_test.cpp
@@ -96,7 +96,7 @@
     CHECK(job.steps[1].after == std::vector<int>{0});
     CHECK(job.steps[1].savesProgress);
     CHECK(job.steps[1].maxPerWorker == 2);
-    CHECK(job.steps[0].mayMiss == -1);
+    CHECK(job.steps[0].maxDisrupted == -1);
 }
 
 TEST_CASE("CallerMessages_malformedJob_reportsEveryPlace", "[platform]")
@@ -107,7 +107,7 @@
               findings);
     std::vector<std::string> places;
     for (const Finding &finding : findings.items())
-        places.push_back(finding.place);
+        places.push_back(finding.location);
     CHECK(places
           == std::vector<std::string>{"/spec", "/steps/0/count", "/steps/1/cpu", "/steps/1/after"});
 }
--- a/tests/register/registerparser_test.cpp
+++ b/tests/register/registerparser_test.cpp
@@ -31,7 +31,7 @@
         } catch (const InvalidDocument &error) {
             std::vector<std::string> result;
             for (const Finding &finding : error.findings().items())
-                result.push_back(finding.file + finding.place);
+                result.push_back(finding.file + finding.location);
             return result;
         }
         return {};
--- a/tests/scheduling/schedulerplacement_test.cpp
+++ b/tests/scheduling/schedulerplacement_test.cpp
@@ -45,7 +45,7 @@
 {
     readAllWorkers();
     JobSpec job = makeJob(1, "pool", {makeStep(3, Millis(100))});
-    job.queue.advice = AdviceRule{.ticketLifetime = Millis(3000)};
+    job.queue.advice = AdviceConfig{.ticketLifetime = Millis(3000)};
     submit(job);
     std::vector<AdviceOrder> asked;
     int starts = 0;
--- a/tests/support/schedulerfixture.h
+++ b/tests/support/schedulerfixture.h
@@ -85,7 +85,7 @@
     {
         StepSpec step = makeStep(count, Millis(100));
         step.isLongRunning = true;
-        step.mayMiss = mayMiss;
+        step.maxDisrupted = mayMiss;
         return makeJob(id, "pool", {step});
     }
 
