--- a/include/oleanderhall/maintenance/hostcommand.h
+++ b/include/oleanderhall/maintenance/hostcommand.h
@@ -7,14 +7,14 @@
 
 namespace oleanderhall {
 
-/// An order to one host: a move to another pool, or its maintenance as part of a wave. Either ends
-/// everything that runs on the host.
+/// A command to one host: a move to another pool, or its maintenance as part of a wave. Both end
+/// all work on the host.
 struct HostCommand
 {
     HostId host;
-    ServiceId pool; ///< Of a move: the new pool. Empty for maintenance.
-    std::int64_t wave = 0; ///< Of maintenance.
-    std::string reason; ///< For operators and auditors.
+    ServiceId pool; ///< The target pool of a move; empty for maintenance.
+    std::int64_t wave = 0; ///< The wave's number; 0 for a move.
+    std::string reason; ///< Shown to operators and auditors.
 
     bool isMove() const { return !pool.empty(); }
 };
--- a/include/oleanderhall/maintenance/hostinfo.h
+++ b/include/oleanderhall/maintenance/hostinfo.h
@@ -6,7 +6,7 @@
 
 namespace oleanderhall {
 
-/// What the platform's list says of one host.
+/// One host as listed by the platform.
 struct HostInfo
 {
     enum class State { Up, Moving, Maintenance, Down };
@@ -16,17 +16,17 @@
     State state = State::Down;
     ZoneId zone;
     Resources capacity;
-    WorkerId worker; ///< The life of its worker; empty when none runs.
+    WorkerId worker; ///< The current worker process; empty if none runs.
 };
 
-/// What came of an order to a host.
+/// The result of a command to a host.
 enum class HostCommandResult {
-    Done, ///< Carried out now or before: whatever ran on the host has ended.
-    Busy, ///< The host is not up, or leaves.
+    Done, ///< Carried out by this call or an earlier one; it ended all work then on the host.
+    Busy, ///< The host is not up, or is about to be moved or maintained.
     NotOfWave,
     Fenced,
     Invalid,
-    Refused, ///< Turned away for its rate; nothing was done.
+    Refused, ///< Rejected before it was carried out, for example by a rate limit.
     Unknown,
 };
 
--- a/include/oleanderhall/maintenance/hostplanner.h
+++ b/include/oleanderhall/maintenance/hostplanner.h
@@ -15,30 +15,30 @@
 
 namespace oleanderhall {
 
-/// Limits of the HostPlanner. Each is the project's own but for those set from the platform's
-/// bounds.
+/// Limits of the HostPlanner. `moveTime` and `maintenanceTime` are set from the platform's bounds.
 struct HostPlannerSettings
 {
-    Millis moveTime{1500}; ///< A bound of the platform.
-    Millis maintenanceTime{2000}; ///< A bound of the platform.
-    Millis minStay{600}; ///< A host that has moved stays at least this long.
-    Millis surplusTime{800}; ///< How long a pool has too many hosts before one goes to the spares.
-    Millis commandRetryDelay{300}; ///< After an order that was turned away or not answered.
-    double usableShare = 0.85; ///< Of a host's cores that placement fills in practice.
-    int minHosts = 3; ///< Of a pool with work of its own, so that a lost rack leaves some.
+    Millis moveTime{1500}; ///< The longest time that a move takes.
+    Millis maintenanceTime{2000}; ///< The longest time that a maintenance takes.
+    Millis minStay{600}; ///< The time after a move or maintenance before the next command.
+    Millis surplusTime{800}; ///< How long a pool has surplus hosts before they become spares.
+    Millis commandRetryDelay{300}; ///< After a command that was rejected or not answered.
+    double usableShare = 0.85; ///< The share of a host's cores that placement can use.
+    /// The fewest hosts of a pool that has work, so that some remain when a rack fails.
+    int minHostsPerPool = 3;
 };
 
-/// What the HostPlanner needs to know of a host's worker.
+/// The current load of one worker.
 struct WorkerUsage
 {
-    bool isKnown = false; ///< The worker is listed and was read.
-    bool isEmpty = true; ///< Nothing runs there.
-    bool mayInterrupt = true; ///< What runs there may be ended without breaking a budget.
-    double batchCores = 0; ///< Of tasks that end by themselves.
+    bool isKnown = false; ///< The worker is listed and its state has been read.
+    bool isEmpty = true; ///< No task runs on the worker.
+    bool mayInterrupt = true; ///< Its tasks may be ended without violating a budget.
+    double batchCores = 0; ///< Cores used by tasks that are not long-running.
 };
 
-/// A HostPlanner decides when hosts are maintained and which pool each belongs to. It does no I/O.
-/// All orders come from one owner, under its fencing token.
+/// A HostPlanner decides when hosts are maintained and which pool each host belongs to. It does no
+/// I/O. Only the owner sends its commands, with the owner's fencing token.
 class HostPlanner
 {
 public:
@@ -47,31 +47,40 @@
     struct Plan
     {
         std::vector<HostCommand> commands;
-        std::set<WorkerId> cordoned; ///< Workers that get no new tasks.
-        std::set<WorkerId> awaitingMaintenance; ///< Workers whose host will be maintained.
-        /// Workers whose long-running tasks should go elsewhere, as budgets allow.
+        std::set<WorkerId> cordoned; ///< Workers that must not get new tasks.
+        /// Workers whose host is in an open wave and has not been maintained yet.
+        std::set<WorkerId> awaitingMaintenance;
+        /// Workers whose long-running tasks should be moved to other workers, as budgets allow.
         std::set<WorkerId> evacuated;
-        std::vector<std::pair<std::int64_t, bool>>
-            waveStates; ///< Wave and whether it is completed.
+        /// Waves whose state is new or has changed: the number, and whether all hosts are done.
+        std::vector<std::pair<std::int64_t, bool>> waveStates;
     };
 
     explicit HostPlanner(HostPlannerSettings settings);
 
     void setPools(const std::vector<PoolConfig> &pools);
+    /// Replaces the known hosts by a complete list from the platform. A host keeps
+    /// its state while a command, move or maintenance is in progress, as the list may predate it.
     void updateHosts(const std::vector<HostInfo> &hosts, Instant now);
-    /// Gives no orders to a host before `until`, as an earlier owner may have just done so.
+    /// Plans no commands to `host` before `until`. A new owner calls it for hosts to which an
+    /// earlier owner may just have sent a command.
     void pause(HostId host, Instant until) { m_pausedUntil[host] = until; }
-    /// Takes a wave that was first seen at `seen`; `maintained` are the hosts that are known to
-    /// have been maintained.
-    void addWave(const Wave &wave, Instant seen, const std::set<HostId> &maintained = {});
-    void commandAnswered(const HostCommand &order, HostCommandResult result, Instant now);
-    Plan plan(const PoolDemands &demands, const UsageLookup &useOf, Instant now);
+    /// Adds or updates a wave that was first seen at `firstSeen`. `maintained` are the hosts that
+    /// an earlier owner has already maintained.
+    void addWave(const Wave &wave, Instant firstSeen, const std::set<HostId> &maintained = {});
+    /// Handles the result of a planned command. Every planned command must get one.
+    void commandAnswered(const HostCommand &command, HostCommandResult result, Instant now);
+    /// Returns the commands to send now and the workers to cordon or evacuate. The plan is empty
+    /// until the first list of hosts. `usageOf` returns the current load of a worker.
+    Plan plan(const PoolDemands &demands, const UsageLookup &usageOf, Instant now);
 
-    /// Returns the hosts of a wave that have begun their maintenance.
+    /// Returns the hosts of a wave that need no further command: their maintenance has started, or
+    /// the platform rejected it for good.
     std::set<HostId> maintained(std::int64_t wave) const;
-    /// Returns the workers that the platform lists in `pool`; nothing before the first list.
+    /// Returns the workers that the platform lists in `pool`, or nothing before the first list.
     std::optional<std::vector<WorkerId>> workersIn(ServiceId pool) const;
-    /// Returns whether a move or maintenance is under way, so that the list is worth reading soon.
+    /// Returns whether a command, move or maintenance is in progress, so that the list of hosts
+    /// should be read again soon.
     bool hasPendingChanges(Instant now) const;
 
 private:
@@ -79,45 +88,45 @@
     {
         HostInfo info;
         bool isCommandInFlight = false;
-        ServiceId targetPool; ///< Of the order in flight; empty for maintenance.
-        Instant nextCommandAt; ///< No new order before.
-        Instant unavailableUntil; ///< A move or maintenance has begun and takes until then.
-        std::set<ServiceId> rejectedPools;
+        ServiceId targetPool; ///< Of the command in flight; empty for maintenance.
+        Instant nextCommandAt; ///< The earliest time of the next command.
+        Instant unavailableUntil; ///< The expected end of the current move or maintenance.
+        std::set<ServiceId> rejectedPools; ///< Pools for which a move was invalid.
     };
     struct WaveState
     {
         Wave wave;
         Instant firstSeen;
-        std::set<HostId> started;
-        std::map<HostId, Instant> unavailableUntil;
+        std::set<HostId> started; ///< Hosts that need no further command.
+        std::map<HostId, Instant> unavailableUntil; ///< Hosts under maintenance.
         bool isCompleted = false;
-        bool isStateKnown = false;
+        bool isReported = false; ///< A plan has contained the wave's state.
     };
     struct PoolState
     {
         int desiredHosts = 0;
-        int currentHosts = 0; ///< Up, or on their way into the pool.
+        int currentHosts = 0; ///< Up, or about to join the pool.
         double coresPerHost = 1;
     };
 
     bool acceptsCommands(const Host &host, Instant now) const;
-    void planWaves(const UsageLookup &useOf, Instant now, Plan &plan);
-    void planMoves(const PoolDemands &demands, const UsageLookup &useOf, Instant now, Plan &plan);
+    void planWaves(const UsageLookup &usageOf, Instant now, Plan &plan);
+    void planMoves(const PoolDemands &demands, const UsageLookup &usageOf, Instant now, Plan &plan);
     std::map<ServiceId, PoolState> poolStates(const PoolDemands &demands, Instant now) const;
     bool isMaintaining(ServiceId pool) const;
-    Host *findFreeHost(ServiceId from, ServiceId to, const UsageLookup &useOf, Instant now);
-    void cordonLeastLoaded(ServiceId pool, int count, const UsageLookup &useOf, Instant now,
+    Host *findFreeHost(ServiceId from, ServiceId to, const UsageLookup &usageOf, Instant now);
+    void cordonLeastLoaded(ServiceId pool, int count, const UsageLookup &usageOf, Instant now,
                            Plan &plan);
-    void addCommand(Host &host, HostCommand order, Plan &plan);
+    void addCommand(Host &host, HostCommand command, Plan &plan);
 
     HostPlannerSettings m_settings;
     std::map<HostId, Instant> m_pausedUntil;
-    std::map<ServiceId, bool> m_pools; ///< Whether it is the spare pool.
+    std::map<ServiceId, bool> m_pools; ///< By pool: whether it is the spare pool.
     ServiceId m_sparePool;
     std::map<HostId, Host> m_hosts;
     bool m_hasHostList = false;
     std::map<std::int64_t, WaveState> m_waves;
-    std::map<ServiceId, Instant> m_surplusSince;
+    std::map<ServiceId, Instant> m_surplusSince; ///< When a pool's current surplus began.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/maintenance/wave.h
+++ b/include/oleanderhall/maintenance/wave.h
@@ -8,13 +8,13 @@
 
 namespace oleanderhall {
 
-/// A requested maintenance wave: each of these hosts is to be maintained in time.
+/// A requested maintenance wave: all of its hosts must be maintained within its duration.
 struct Wave
 {
     std::int64_t number = 0;
     std::vector<HostId> hosts;
-    Millis duration{0}; ///< From the request.
-    int maxAtOnce = 1;
+    Millis duration{0}; ///< Counted from the request.
+    int maxAtOnce = 1; ///< Hosts under maintenance at the same time.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/maintenance/workerendverifier.h
+++ b/include/oleanderhall/maintenance/workerendverifier.h
@@ -8,10 +8,11 @@
 
 namespace oleanderhall {
 
-/// WorkerEndVerifier tells whether an order to a host that the platform calls done has ended the
-/// worker that this owner knew of there. An order that an earlier owner gave is called done, too,
-/// when it is given again; then the worker is a later life and goes on. The host's entry in a list
-/// that was asked for after the answer shows which it is.
+/// A WorkerEndVerifier tells whether a host command that the platform reported as done has ended
+/// the worker process it was meant for. The platform also reports a repeated command as done,
+/// without carrying it out again; when an earlier owner sent the first one, the worker process now
+/// on the host started after it and is still running. A list of hosts that was requested after the
+/// command's answer distinguishes the two cases.
 class WorkerEndVerifier
 {
 public:
@@ -22,10 +23,12 @@
         bool hasEnded = false;
     };
 
-    /// The order to `host`, on which `worker` ran, was answered as done at `answered`.
+    /// Records that the command to `host`, on which `worker` ran, was reported as done at
+    /// `answered`.
     void commandDone(HostId host, WorkerId worker, Instant answered);
-    /// Takes a whole list of hosts that was asked for at `asked`. Returns what it tells of the
-    /// workers that are in question, and forgets them.
+    /// Checks the recorded workers against a complete list of hosts that was requested at
+    /// `requested`. Returns a verdict for each command that was answered earlier, and removes its
+    /// record.
     std::vector<Verdict> verify(const std::vector<HostInfo> &hosts, Instant requested);
 
 private:
--- a/include/oleanderhall/ownership/ownership.h
+++ b/include/oleanderhall/ownership/ownership.h
@@ -62,7 +62,7 @@
     /// Returns what to send now. Each step must be answered before the next is returned.
     Step nextStep(Instant now);
     /// Takes the term's and the heartbeat's rows, as just read.
-    void recordsRead(const TermRecord &term, std::uint64_t beatVersion, Instant now);
+    void recordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now);
     /// `version` is the transaction's; meaningful when `isDone`.
     void takeOverAnswered(bool isDone, std::uint64_t version, Instant sent, Instant now);
     /// `isLost`: the term's row has changed, thus another process owns.
--- a/src/maintenance/hostplanner.cpp
+++ b/src/maintenance/hostplanner.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr double kMilliPerCore = 1000;
-constexpr double kWaveReserve = 0.35; // of a wave's time, kept for hosts that are hard to free
+/// The share of a wave's duration that is reserved for hosts that are hard to free.
+constexpr double kWaveTimeReserve = 0.35;
 
 } // namespace
 
@@ -33,7 +34,7 @@
     for (const HostInfo &info : hosts) {
         listed.insert(info.id);
         Host &host = m_hosts[info.id];
-        // A list that was read while an order was under way may be older than the order.
+        // A list that was read during a command, move or maintenance may predate the command.
         if (host.isCommandInFlight
             || (now < host.unavailableUntil && info.state == HostInfo::State::Up))
             continue;
@@ -43,11 +44,11 @@
     m_hasHostList = true;
 }
 
-void HostPlanner::addWave(const Wave &wave, Instant seen, const std::set<HostId> &maintained)
+void HostPlanner::addWave(const Wave &wave, Instant firstSeen, const std::set<HostId> &maintained)
 {
     WaveState &state = m_waves[wave.number];
     if (state.wave.number == 0)
-        state.firstSeen = seen;
+        state.firstSeen = firstSeen;
     state.wave = wave;
     state.started.insert(maintained.begin(), maintained.end());
 }
@@ -88,25 +89,25 @@
         && (paused == m_pausedUntil.end() || now >= paused->second);
 }
 
-void HostPlanner::addCommand(Host &host, HostCommand order, Plan &plan)
+void HostPlanner::addCommand(Host &host, HostCommand command, Plan &plan)
 {
     host.isCommandInFlight = true;
-    host.targetPool = order.pool;
-    plan.commands.push_back(std::move(order));
+    host.targetPool = command.pool;
+    plan.commands.push_back(std::move(command));
 }
 
-void HostPlanner::commandAnswered(const HostCommand &order, HostCommandResult result, Instant now)
+void HostPlanner::commandAnswered(const HostCommand &command, HostCommandResult result, Instant now)
 {
-    const auto found = m_hosts.find(order.host);
-    const auto wave = m_waves.find(order.wave);
-    if (!order.isMove() && wave != m_waves.end()) {
+    const auto found = m_hosts.find(command.host);
+    const auto wave = m_waves.find(command.wave);
+    if (!command.isMove() && wave != m_waves.end()) {
         if (result == HostCommandResult::Done) {
-            wave->second.started.insert(order.host);
-            wave->second.unavailableUntil[order.host] = now + m_settings.maintenanceTime;
+            wave->second.started.insert(command.host);
+            wave->second.unavailableUntil[command.host] = now + m_settings.maintenanceTime;
         } else if (result == HostCommandResult::NotOfWave || result == HostCommandResult::Invalid) {
-            wave->second.started.insert(order.host); // the platform does not want it maintained
+            wave->second.started.insert(command.host); // the platform rejected it for good
         } else if (result != HostCommandResult::Unknown) {
-            wave->second.unavailableUntil.erase(order.host);
+            wave->second.unavailableUntil.erase(command.host);
         }
     }
     if (found == m_hosts.end())
@@ -114,99 +115,100 @@
     Host &host = found->second;
     host.isCommandInFlight = false;
     if (result == HostCommandResult::Done) {
-        const Millis away = order.isMove() ? m_settings.moveTime : m_settings.maintenanceTime;
-        host.unavailableUntil = now + away;
-        host.nextCommandAt = now + away + m_settings.minStay;
+        const Millis unavailableTime = command.isMove() ? m_settings.moveTime
+                                                        : m_settings.maintenanceTime;
+        host.unavailableUntil = now + unavailableTime;
+        host.nextCommandAt = now + unavailableTime + m_settings.minStay;
         host.info.worker = {};
-        if (order.isMove()) {
-            host.info.pool = order.pool;
+        if (command.isMove()) {
+            host.info.pool = command.pool;
             host.info.state = HostInfo::State::Moving;
         } else {
             host.info.state = HostInfo::State::Maintenance;
         }
         return;
     }
-    if (result == HostCommandResult::Invalid && order.isMove())
-        host.rejectedPools.insert(order.pool);
+    if (result == HostCommandResult::Invalid && command.isMove())
+        host.rejectedPools.insert(command.pool);
     host.nextCommandAt = now + m_settings.commandRetryDelay;
 }
 
-HostPlanner::Plan HostPlanner::plan(const PoolDemands &demands, const UsageLookup &useOf,
+HostPlanner::Plan HostPlanner::plan(const PoolDemands &demands, const UsageLookup &usageOf,
                                     Instant now)
 {
     Plan plan;
     if (!m_hasHostList)
         return plan;
-    planWaves(useOf, now, plan);
-    planMoves(demands, useOf, now, plan);
+    planWaves(usageOf, now, plan);
+    planMoves(demands, usageOf, now, plan);
     return plan;
 }
 
-void HostPlanner::planWaves(const UsageLookup &useOf, Instant now, Plan &plan)
+void HostPlanner::planWaves(const UsageLookup &usageOf, Instant now, Plan &plan)
 {
     for (auto &[number, state] : m_waves) {
         if (state.isCompleted)
             continue;
-        int away = 0;
-        std::vector<Host *> left;
+        int unavailable = 0;
+        std::vector<Host *> remaining;
         for (const HostId id : state.wave.hosts) {
             const auto found = m_hosts.find(id);
             if (found == m_hosts.end())
-                continue; // it is gone for good
+                continue; // no longer in the fleet
             const auto until = state.unavailableUntil.find(id);
-            const bool isOrdered = until != state.unavailableUntil.end()
+            const bool isCommanded = until != state.unavailableUntil.end()
                 && (now < until->second || found->second.info.state != HostInfo::State::Up);
-            // An earlier owner may have ordered it just now.
+            // An earlier owner may just have sent a command to this host.
             const auto paused = m_pausedUntil.find(id);
-            const bool mayBeOrdered = paused != m_pausedUntil.end() && now < paused->second;
-            if (isOrdered || mayBeOrdered
+            const bool mayBeCommanded = paused != m_pausedUntil.end() && now < paused->second;
+            if (isCommanded || mayBeCommanded
                 || found->second.info.state == HostInfo::State::Maintenance)
-                ++away;
+                ++unavailable;
             if (!state.started.contains(id))
-                left.push_back(&found->second);
+                remaining.push_back(&found->second);
         }
-        if (!state.isStateKnown || left.empty()) {
-            state.isStateKnown = true;
-            state.isCompleted = left.empty();
+        if (!state.isReported || remaining.empty()) {
+            state.isReported = true;
+            state.isCompleted = remaining.empty();
             plan.waveStates.emplace_back(number, state.isCompleted);
         }
-        // Those that run nothing go first, then those with the least work.
+        // Idle hosts come first, then those whose tasks may be interrupted, then the least loaded.
         std::vector<std::pair<double, Host *>> ranked;
-        for (Host *host : left) {
-            const WorkerUsage use = useOf(host->info.worker);
+        for (Host *host : remaining) {
+            const WorkerUsage usage = usageOf(host->info.worker);
             plan.awaitingMaintenance.insert(host->info.worker);
-            const bool isFree = use.isEmpty || (use.batchCores == 0 && use.mayInterrupt);
-            ranked.emplace_back(isFree ? (use.isEmpty ? 0 : 1) : 2 + use.batchCores, host);
+            const bool isFree = usage.isEmpty || (usage.batchCores == 0 && usage.mayInterrupt);
+            ranked.emplace_back(isFree ? (usage.isEmpty ? 0 : 1) : 2 + usage.batchCores, host);
         }
         std::stable_sort(ranked.begin(), ranked.end(),
                          [](const auto &a, const auto &b) { return a.first < b.first; });
         const double elapsed = std::chrono::duration<double>(now - state.firstSeen).count();
         const double usable = std::chrono::duration<double>(state.wave.duration).count()
-            * (1 - kWaveReserve);
+            * (1 - kWaveTimeReserve);
         const auto total = static_cast<double>(state.wave.hosts.size());
         const double due = usable <= 0 ? total : total * std::min(1.0, elapsed / usable);
-        const bool isBehind = total - static_cast<double>(left.size()) < due;
+        const bool isBehind = total - static_cast<double>(remaining.size()) < due;
         int cordoned = 0;
         for (const auto &[rank, host] : ranked) {
-            if (away >= state.wave.maxAtOnce)
+            if (unavailable >= state.wave.maxAtOnce)
                 break;
             if (!acceptsCommands(*host, now))
                 continue;
-            const WorkerUsage use = useOf(host->info.worker);
-            // What runs at a worker that was not read yet is not known; a host that is off has
-            // none.
-            if (!use.isKnown && !host->info.worker.empty())
+            const WorkerUsage usage = usageOf(host->info.worker);
+            // A worker whose state has not been read may run tasks; a host that is off has no
+            // worker.
+            if (!usage.isKnown && !host->info.worker.empty())
                 continue;
-            if (rank < 2 && use.mayInterrupt) {
-                ++away;
+            if (rank < 2 && usage.mayInterrupt) {
+                ++unavailable;
                 state.unavailableUntil[host->info.id] = now + m_settings.maintenanceTime;
                 addCommand(*host,
                            {.host = host->info.id, .wave = number, .reason = "maintenance wave"},
                            plan);
-                // Budgets of running tasks hold for one host at a time.
-                if (!use.isEmpty)
+                // The budget check covers one interrupted host at a time.
+                if (!usage.isEmpty)
                     break;
-            } else if (isBehind && away + cordoned < state.wave.maxAtOnce
+            } else if (isBehind && unavailable + cordoned < state.wave.maxAtOnce
                        && cordoned < std::max(1, state.wave.maxAtOnce / 4)) {
                 plan.cordoned.insert(host->info.worker);
                 plan.evacuated.insert(host->info.worker);
@@ -234,11 +236,11 @@
     std::map<ServiceId, PoolState> states;
     std::map<ServiceId, double> cores;
     for (const auto &[id, host] : m_hosts) {
-        // A host that is ordered into a pool counts there, also while the answer is on its way.
-        const bool isOrdered = host.isCommandInFlight && !host.targetPool.empty();
-        PoolState &state = states[isOrdered ? host.targetPool : host.info.pool];
-        const bool isComing = now < host.unavailableUntil || isOrdered;
-        if (host.info.state == HostInfo::State::Up || isComing
+        // A host counts towards its target pool as soon as the move is commanded.
+        const bool isMoveCommanded = host.isCommandInFlight && !host.targetPool.empty();
+        PoolState &state = states[isMoveCommanded ? host.targetPool : host.info.pool];
+        const bool isJoining = now < host.unavailableUntil || isMoveCommanded;
+        if (host.info.state == HostInfo::State::Up || isJoining
             || host.info.state == HostInfo::State::Moving
             || host.info.state == HostInfo::State::Maintenance)
             ++state.currentHosts;
@@ -251,18 +253,18 @@
         state.coresPerHost = std::max(1.0, cores[pool] / std::max(1, counts[pool]));
     for (const auto &[pool, demand] : demands) {
         PoolState &state = states[pool];
-        const double wanted = (demand.cores + demand.longRunningCores)
+        const double desired = (demand.cores + demand.longRunningCores)
             / (state.coresPerHost * m_settings.usableShare);
-        // One more than tasks must be spread over, while hosts of the pool are maintained.
+        // During maintenance, one host more than the number that tasks must be spread over.
         const int reserve = isMaintaining(pool) ? 1 : 0;
-        const int least = std::max(m_settings.minHosts, demand.leastHosts + reserve);
-        state.desiredHosts = std::max(least, static_cast<int>(std::ceil(wanted)));
+        const int fewest = std::max(m_settings.minHostsPerPool, demand.leastHosts + reserve);
+        state.desiredHosts = std::max(fewest, static_cast<int>(std::ceil(desired)));
     }
     return states;
 }
 
-HostPlanner::Host *HostPlanner::findFreeHost(ServiceId from, ServiceId to, const UsageLookup &useOf,
-                                             Instant now)
+HostPlanner::Host *HostPlanner::findFreeHost(ServiceId from, ServiceId to,
+                                             const UsageLookup &usageOf, Instant now)
 {
     for (auto &[id, host] : m_hosts) {
         if (host.info.pool != from || !acceptsCommands(host, now)
@@ -270,23 +272,23 @@
             continue;
         if (from == m_sparePool)
             return &host;
-        const WorkerUsage use = useOf(host.info.worker);
-        if (use.isKnown && use.isEmpty)
+        const WorkerUsage usage = usageOf(host.info.worker);
+        if (usage.isKnown && usage.isEmpty)
             return &host;
     }
     return nullptr;
 }
 
-void HostPlanner::cordonLeastLoaded(ServiceId pool, int count, const UsageLookup &useOf,
+void HostPlanner::cordonLeastLoaded(ServiceId pool, int count, const UsageLookup &usageOf,
                                     Instant now, Plan &plan)
 {
     std::vector<std::pair<double, WorkerId>> ranked;
     for (const auto &[id, host] : m_hosts) {
         if (host.info.pool != pool || !acceptsCommands(host, now))
             continue;
-        const WorkerUsage use = useOf(host.info.worker);
-        if (use.isKnown && use.batchCores > 0)
-            ranked.emplace_back(use.batchCores, host.info.worker);
+        const WorkerUsage usage = usageOf(host.info.worker);
+        if (usage.isKnown && usage.batchCores > 0)
+            ranked.emplace_back(usage.batchCores, host.info.worker);
     }
     std::sort(ranked.begin(), ranked.end());
     for (const auto &[cores, worker] : ranked) {
@@ -296,22 +298,22 @@
     }
 }
 
-void HostPlanner::planMoves(const PoolDemands &demands, const UsageLookup &useOf, Instant now,
+void HostPlanner::planMoves(const PoolDemands &demands, const UsageLookup &usageOf, Instant now,
                             Plan &plan)
 {
     if (m_sparePool.empty() && m_pools.size() < 2)
         return;
     std::map<ServiceId, PoolState> states = poolStates(demands, now);
-    std::vector<std::pair<double, ServiceId>> shortPools;
+    std::vector<std::pair<double, ServiceId>> poolsShortOfHosts;
     for (const auto &[pool, state] : states) {
         if (pool != m_sparePool && m_pools.contains(pool)
             && state.currentHosts < state.desiredHosts)
-            shortPools.emplace_back(static_cast<double>(state.currentHosts) / state.desiredHosts,
-                                    pool);
+            poolsShortOfHosts.emplace_back(
+                static_cast<double>(state.currentHosts) / state.desiredHosts, pool);
     }
-    std::sort(shortPools.begin(), shortPools.end());
-    for (const auto &[share, pool] : shortPools) {
-        PoolState &needy = states[pool];
+    std::sort(poolsShortOfHosts.begin(), poolsShortOfHosts.end());
+    for (const auto &[share, pool] : poolsShortOfHosts) {
+        PoolState &recipient = states[pool];
         std::vector<ServiceId> sources{m_sparePool};
         for (const auto &[other, state] : states) {
             if (other != m_sparePool && other != pool && m_pools.contains(other)
@@ -320,25 +322,25 @@
         }
         for (const ServiceId source : sources) {
             PoolState &donor = states[source];
-            while (needy.currentHosts < needy.desiredHosts
+            while (recipient.currentHosts < recipient.desiredHosts
                    && (source == m_sparePool || donor.currentHosts > donor.desiredHosts)) {
-                Host *host = findFreeHost(source, pool, useOf, now);
+                Host *host = findFreeHost(source, pool, usageOf, now);
                 if (!host)
                     break;
-                ++needy.currentHosts;
+                ++recipient.currentHosts;
                 --donor.currentHosts;
                 addCommand(*host,
                            {.host = host->info.id,
                             .pool = pool,
-                            .reason = "pool wants " + std::to_string(needy.desiredHosts)
-                                + " hosts, has " + std::to_string(needy.currentHosts - 1)},
+                            .reason = "pool wants " + std::to_string(recipient.desiredHosts)
+                                + " hosts, has " + std::to_string(recipient.currentHosts - 1)},
                            plan);
             }
-            if (source != m_sparePool && needy.currentHosts < needy.desiredHosts)
+            if (source != m_sparePool && recipient.currentHosts < recipient.desiredHosts)
                 cordonLeastLoaded(source,
                                   std::min(donor.currentHosts - donor.desiredHosts,
-                                           needy.desiredHosts - needy.currentHosts),
-                                  useOf, now, plan);
+                                           recipient.desiredHosts - recipient.currentHosts),
+                                  usageOf, now, plan);
         }
     }
     if (m_sparePool.empty())
@@ -354,7 +356,7 @@
         if (now - since < m_settings.surplusTime)
             continue;
         while (state.currentHosts > state.desiredHosts) {
-            Host *host = findFreeHost(pool, m_sparePool, useOf, now);
+            Host *host = findFreeHost(pool, m_sparePool, usageOf, now);
             if (!host)
                 break;
             --state.currentHosts;
--- a/src/maintenance/workerendverifier.cpp
+++ b/src/maintenance/workerendverifier.cpp
@@ -16,13 +16,13 @@
         listed[host.id] = &host;
     std::vector<Verdict> verdicts;
     std::erase_if(m_pendingChecks, [&](const auto &entry) {
-        const auto &[host, question] = entry;
-        if (requested <= question.answered)
-            return false; // the list may be older than the order
+        const auto &[host, check] = entry;
+        if (requested <= check.answered)
+            return false; // the list may predate the command
         const auto found = listed.find(host);
-        const bool goesOn = found != listed.end() && found->second->state == HostInfo::State::Up
-            && found->second->worker == question.worker;
-        verdicts.push_back({host, question.worker, !goesOn});
+        const bool isRunning = found != listed.end() && found->second->state == HostInfo::State::Up
+            && found->second->worker == check.worker;
+        verdicts.push_back({host, check.worker, !isRunning});
         return true;
     });
     return verdicts;
--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -19,21 +19,22 @@
     , m_nextAttempt(now)
 {}
 
-void Ownership::recordsRead(const TermRecord &term, std::uint64_t beatVersion, Instant now)
+void Ownership::recordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now)
 {
     if (term.version < m_term.version)
         return; // an answer that was overtaken
     const bool isSameTerm = term.version == m_term.version;
     // After an outage of the table for all, its owner comes back with the others and renews.
     const bool wasCutOff = now - m_lastContact > m_settings.maxContactGap;
-    if (!m_wasRead || !isSameTerm || beatVersion > m_heartbeatVersion || wasCutOff)
+    if (!m_wasRead || !isSameTerm || heartbeatVersion > m_heartbeatVersion || wasCutOff)
         m_lastChange = now;
     m_lastContact = now;
     m_wasRead = true;
     if (m_isOwner && !isSameTerm)
         m_isOwner = false;
     m_term = term;
-    m_heartbeatVersion = isSameTerm ? std::max(m_heartbeatVersion, beatVersion) : beatVersion;
+    m_heartbeatVersion = isSameTerm ? std::max(m_heartbeatVersion, heartbeatVersion)
+                                    : heartbeatVersion;
 }
 
 /// Returns how much longer this process waits than a strong one.
--- a/tests/maintenance/hostplanner_test.cpp
+++ b/tests/maintenance/hostplanner_test.cpp
@@ -10,7 +10,7 @@
 const ServiceId kCalm("calm");
 const ServiceId kSpare("spare");
 
-/// Four hosts in each of two pools and four that are off.
+/// A fleet with four hosts in each of two pools and four spare hosts, which are off.
 class HostPlannerTest
 {
 protected:
@@ -47,8 +47,8 @@
 
     void answer(const HostPlanner::Plan &plan, HostCommandResult result = HostCommandResult::Done)
     {
-        for (const HostCommand &order : plan.commands)
-            planner.commandAnswered(order, result, now);
+        for (const HostCommand &command : plan.commands)
+            planner.commandAnswered(command, result, now);
     }
 
     Wave wave(std::vector<std::string> names, int maxAtOnce)
@@ -62,8 +62,8 @@
     static int moves(const HostPlanner::Plan &plan, ServiceId pool)
     {
         int count = 0;
-        for (const HostCommand &order : plan.commands)
-            count += order.pool == pool ? 1 : 0;
+        for (const HostCommand &command : plan.commands)
+            count += command.pool == pool ? 1 : 0;
         return count;
     }
 
@@ -82,7 +82,8 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_orderNotAnsweredYet_ordersNoMore", "[hosts]")
 {
-    // With a slow host service, each plan ordered the same number of hosts once more.
+    // Guards against repeated moves: while the host service was slow to answer, each plan moved the
+    // same number of hosts again.
     CHECK(moves(plan(50, 30), kBusy) == 2);
     now += Millis(200);
     CHECK(moves(plan(50, 30), kBusy) == 0);
@@ -97,7 +98,7 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_sparesUsedUp_takesIdleHostsOfOtherPools", "[hosts]")
 {
-    CHECK(moves(plan(100, 0), kBusy) == 5); // four spares and the one that calm does not need
+    CHECK(moves(plan(100, 0), kBusy) == 5); // four spares and one surplus host of kCalm
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_otherPoolsHostsBusy_cordonsInsteadOfEndingWork",
@@ -115,7 +116,7 @@
 {
     CHECK(plan(0, 30).commands.empty());
     now += HostPlannerSettings{}.surplusTime;
-    CHECK(moves(plan(0, 30), kSpare) == 1); // three stay, so that a lost rack leaves some
+    CHECK(moves(plan(0, 30), kSpare) == 1); // three remain in case a rack fails
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_movedHost_staysForAWhile", "[hosts]")
@@ -123,8 +124,8 @@
     answer(plan(50, 30));
     plan(0, 30);
     now += HostPlannerSettings{}.surplusTime;
-    for (const HostCommand &order : plan(0, 30).commands)
-        CHECK(order.host.name().substr(0, 1) == "b");
+    for (const HostCommand &command : plan(0, 30).commands)
+        CHECK(command.host.name().substr(0, 1) == "b");
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_hostOrderedByEarlierOwner_isLeftAlone", "[hosts]")
@@ -148,7 +149,8 @@
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_earlierOwnersMaintenanceUnderWay_countsForTheLimit",
                  "[hosts]")
 {
-    // A new owner does not know which orders its predecessor has just sent (LIMIT, cal trouble-2).
+    // A new owner doesn't know which commands its predecessor has just sent, and exceeded the
+    // wave's limit. Seen in the scenario trouble-2.
     planner.addWave(wave({"b0", "b1", "b2", "c0"}, 2), now);
     planner.pause(HostId("b0"), now + Millis(3000));
     planner.pause(HostId("b1"), now + Millis(3000));
@@ -157,7 +159,8 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_workerNotRead_isNotTakenForIdle", "[hosts]")
 {
-    // A new owner took hosts for empty whose workers it had not read (AVAIL, seven days).
+    // A new owner treated hosts as empty before it had read their workers' state, and violated the
+    // availability budget. Seen in a run of seven days.
     planner.addWave(wave({"b0"}, 1), now);
     uses[WorkerId("w-b0")] = {};
     CHECK(plan(20, 20).commands.empty());
@@ -220,15 +223,16 @@
     HostPlanner::Plan result = plan(50, 40);
     answer(result, HostCommandResult::Invalid);
     now += Millis(1000);
-    for (const HostCommand &order : plan(50, 40).commands) {
+    for (const HostCommand &command : plan(50, 40).commands) {
         for (const HostCommand &refused : result.commands)
-            CHECK_FALSE((order.host == refused.host && order.pool == refused.pool));
+            CHECK_FALSE((command.host == refused.host && command.pool == refused.pool));
     }
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_antiaffinity_keepsHostsEnough", "[hosts]")
 {
-    // A pool shrank below the hosts that its tasks must be spread over (LOST, cal scale-1).
+    // A pool was reduced below the number of hosts that its tasks must be spread over, and
+    // tasks were lost. Seen in the scenario scale-1.
     now += Millis(10000);
     const auto needs = [&] {
         return planner.plan(
@@ -236,7 +240,7 @@
             [this](WorkerId worker) { return uses[worker]; }, now);
     };
     CHECK(moves(needs(), kBusy) == 1);
-    // One more while its hosts are maintained.
+    // The pool gets one host more while its hosts are maintained.
     planner.addWave(wave({"b0", "b1"}, 1), now);
     now += Millis(10000);
     CHECK(moves(needs(), kBusy) == 1);
--- a/tests/maintenance/workerendverifier_test.cpp
+++ b/tests/maintenance/workerendverifier_test.cpp
@@ -6,66 +6,71 @@
 
 namespace {
 
-class OrderedLivesTest
+class WorkerEndVerifierTest
 {
 protected:
-    OrderedLivesTest() { lives.commandDone(host, worker, now); }
+    WorkerEndVerifierTest() { verifier.commandDone(host, worker, now); }
 
-    std::vector<WorkerEndVerifier::Verdict> judge(HostInfo::State state, WorkerId listed)
+    std::vector<WorkerEndVerifier::Verdict> verify(HostInfo::State state, WorkerId listed)
     {
-        return lives.verify({{.id = host, .state = state, .worker = listed}}, now + Millis(1));
+        return verifier.verify({{.id = host, .state = state, .worker = listed}}, now + Millis(1));
     }
 
     const HostId host{"h"};
     const WorkerId worker{"w"};
     Instant now{std::chrono::hours(1)};
-    WorkerEndVerifier lives;
+    WorkerEndVerifier verifier;
 };
 
 } // namespace
 
-TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_orderWasDoneBefore_workerGoesOn", "[hosts]")
+TEST_CASE_METHOD(WorkerEndVerifierTest,
+                 "WorkerEndVerifier_commandWasDoneBefore_workerIsStillRunning", "[hosts]")
 {
-    // The host had its maintenance under an owner that was killed before it recorded so; the next
-    // owner gave the order again, was told that it is done, and started the worker's tasks
-    // elsewhere while they ran on (TWICE, cal grown owner-lost-twice seed 212759907481).
-    const auto verdicts = judge(HostInfo::State::Up, worker);
+    // An owner was killed after a host's maintenance and before it recorded it. The next owner
+    // repeated the command, which was reported as done, and started the tasks of the host's new
+    // worker process elsewhere while they were still running. Seen in the
+    // scenario owner-lost-twice with seed 212759907481.
+    const auto verdicts = verify(HostInfo::State::Up, worker);
     REQUIRE(verdicts.size() == 1);
     CHECK(verdicts[0].worker == worker);
     CHECK_FALSE(verdicts[0].hasEnded);
 }
 
-TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_hostInMaintenance_workerHasEnded", "[hosts]")
+TEST_CASE_METHOD(WorkerEndVerifierTest, "WorkerEndVerifier_hostInMaintenance_workerHasEnded",
+                 "[hosts]")
 {
-    const auto verdicts = judge(HostInfo::State::Maintenance, {});
+    const auto verdicts = verify(HostInfo::State::Maintenance, {});
     REQUIRE(verdicts.size() == 1);
     CHECK(verdicts[0].hasEnded);
 }
 
-TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_hostHasAnotherWorker_workerHasEnded", "[hosts]")
+TEST_CASE_METHOD(WorkerEndVerifierTest, "WorkerEndVerifier_hostHasAnotherWorker_workerHasEnded",
+                 "[hosts]")
 {
-    const auto verdicts = judge(HostInfo::State::Up, WorkerId("w-next"));
+    const auto verdicts = verify(HostInfo::State::Up, WorkerId("w-next"));
     REQUIRE(verdicts.size() == 1);
     CHECK(verdicts[0].hasEnded);
 }
 
-TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_hostNotListedAnyMore_workerHasEnded", "[hosts]")
+TEST_CASE_METHOD(WorkerEndVerifierTest, "WorkerEndVerifier_hostNotListedAnyMore_workerHasEnded",
+                 "[hosts]")
 {
-    const auto verdicts = lives.verify({}, now + Millis(1));
+    const auto verdicts = verifier.verify({}, now + Millis(1));
     REQUIRE(verdicts.size() == 1);
     CHECK(verdicts[0].hasEnded);
 }
 
-TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_listAskedForBeforeTheAnswer_tellsNothing",
-                 "[hosts]")
+TEST_CASE_METHOD(WorkerEndVerifierTest,
+                 "WorkerEndVerifier_listRequestedBeforeTheAnswer_tellsNothing", "[hosts]")
 {
-    CHECK(
-        lives.verify({{.id = host, .state = HostInfo::State::Up, .worker = worker}}, now).empty());
-    CHECK(judge(HostInfo::State::Maintenance, {}).size() == 1);
+    CHECK(verifier.verify({{.id = host, .state = HostInfo::State::Up, .worker = worker}}, now)
+              .empty());
+    CHECK(verify(HostInfo::State::Maintenance, {}).size() == 1);
 }
 
-TEST_CASE_METHOD(OrderedLivesTest, "OrderedLives_judgedOnce_isForgotten", "[hosts]")
+TEST_CASE_METHOD(WorkerEndVerifierTest, "WorkerEndVerifier_verifiedOnce_isRemoved", "[hosts]")
 {
-    judge(HostInfo::State::Maintenance, {});
-    CHECK(judge(HostInfo::State::Up, worker).empty());
+    verify(HostInfo::State::Maintenance, {});
+    CHECK(verify(HostInfo::State::Up, worker).empty());
 }
