--- a/include/oleanderhall/ownership/ownership.h
+++ b/include/oleanderhall/ownership/ownership.h
@@ -9,81 +9,85 @@
 
 namespace oleanderhall {
 
-/// The stored record of who owns the fleet's decisions. It changes only when they change hands.
+/// The stored record of the owner, the process that makes all decisions for the fleet. It is
+/// written only when ownership changes.
 struct TermRecord
 {
-    std::string owner; ///< Empty when the last owner has handed over.
-    std::int64_t generation = 0; ///< Counts the changes of hands.
-    std::uint64_t version = 0; ///< Of its row: the owner's fencing token. 0: no row.
-    double processorShare = 0; ///< The last owner's, in cores. 0: not known.
+    std::string owner; ///< Empty after a planned hand-over.
+    std::int64_t generation = 0; ///< Counts the changes of ownership.
+    std::uint64_t version = 0; ///< The row's version, used as fencing token; 0 if there is no row.
+    double processorShare = 0; ///< The last owner's processor time in cores; 0 if not known.
 };
 
-/// Of a core: a process with less is weak, whatever the others have. One owner took up to 0.15 of a
-/// core on 349 hosts (docs/CAPACITY.md).
+/// The processor time, in cores, that an owner needs. An owner used up to 0.15 cores with 349 hosts
+/// (docs/CAPACITY.md).
 inline constexpr double kSufficientShare = 0.2;
 
-/// Limits of ownership. Each is the project's own.
+/// Time limits of ownership, and this process's share of the processor.
 struct OwnershipSettings
 {
-    /// Without a renewal for this long, others may take over.
+    /// Other processes may take over when the owner has not renewed its lease for this long.
     Millis lease{2000};
-    /// The owner stops giving orders this long before others may take over.
+    /// The owner stops sending commands this long before its lease expires.
     Millis margin{250};
     Millis renewInterval{500};
-    /// The owner extends leases of running tasks this long after its last renewal. With the
-    /// workers' own lease it bounds what an outage of the table ends, and what a new owner waits
-    /// for where it can't look.
+    /// The owner extends leases of running tasks until this long after its last renewal. Together
+    /// with the workers' lease this bounds how long tasks continue during an outage of the table,
+    /// and how long a new owner waits for workers that it can't reach.
     Millis leaseExtensionTime{3500};
-    Millis retryDelay{150}; ///< After a failed renewal or take-over.
-    Millis jitter{0}; ///< Added to `lease` before taking over, so that not all try at once.
-    double processorShare = 1; ///< This process's, in cores.
-    /// How much longer a process waits that has less processor time than the last owner had. Well
-    /// over the jitter, so that any process as strong as the last owner comes first; a fleet that
-    /// a weak owner decides for loses more than this.
+    Millis retryDelay{150}; ///< The delay after a failed renewal or take-over.
+    Millis jitter{0}; ///< Added to `lease` before a take-over, so that processes don't collide.
+    double processorShare = 1; ///< This process's processor time in cores.
+    /// The extra wait before a take-over by a process that has less processor time than the last
+    /// owner. It is well above the jitter, so that processes with enough processor time take over
+    /// first; an owner that can't keep up costs the fleet more than this delay.
     Millis belowOwnerDelay{1500};
-    /// The same for a weak process where the last owner was weak, too: as long as the jitter may
-    /// be.
+    /// The extra wait of a process below kSufficientShare when the last owner was below it, too. It
+    /// equals the longest jitter.
     Millis lowShareDelay{300};
-    /// The owner's silence counts only while this process itself hears from the table. A longer
-    /// pause between two answers than this is one without contact: over the wait of one read that
-    /// finds nothing new, and the time for it.
+    /// A longer interval between two answers of the table means that this process had no contact,
+    /// and the owner's missing renewals are then not counted against it. The interval exceeds one
+    /// long poll without changes, including its time limit.
     Millis maxContactGap{1600};
 };
 
-/// Ownership decides when this process may act as the owner, renew or take over. It does no I/O.
-/// All times are from before a call was sent, so a slow answer or a pause never makes a lease
-/// longer than it is.
+/// Ownership decides when this process may act as the owner, must renew its lease or may take over.
+/// It does no I/O. A lease counts from the time before the renewal was sent, so that a slow answer
+/// or a pause of the process never extends it.
 class Ownership
 {
 public:
     Ownership(std::string self, OwnershipSettings settings, Instant now);
 
     enum class Step { None, TakeOver, Renew };
-    /// Returns what to send now. Each step must be answered before the next is returned.
+    /// Returns the call to send now. Returns None until the result of the last call was passed to
+    /// takeOverAnswered() or renewAnswered().
     Step nextStep(Instant now);
-    /// Takes the term's and the heartbeat's rows, as just read.
+    /// Handles the term record and the version of the heartbeat's row, as read from the table.
     void recordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now);
-    /// `version` is the transaction's; meaningful when `isDone`.
+    /// Handles the result of a take-over. `version` is the version of the written rows and is used
+    /// only if `isDone`; `sent` is the time at which the call was sent.
     void takeOverAnswered(bool isDone, std::uint64_t version, Instant sent, Instant now);
-    /// `isLost`: the term's row has changed, thus another process owns.
+    /// Handles the result of a renewal. `isLost` means that the term's row has changed, so another
+    /// process is the owner.
     void renewAnswered(bool isDone, bool isLost, std::uint64_t version, Instant sent, Instant now);
-    /// Gives ownership up, as for a planned stop.
+    /// Prevents further take-overs by this process, as before a planned stop.
     void resign() { m_isEligible = false; }
 
     bool isOwner() const { return m_isOwner; }
-    /// Returns whether orders may be given.
+    /// Returns whether this process is the owner and may send commands.
     bool maySendCommands(Instant now) const
     {
         return m_isOwner && now < m_lastRenewal + m_settings.lease - m_settings.margin;
     }
-    /// Returns whether leases of running tasks may be extended.
+    /// Returns whether this process is the owner and may extend leases of running tasks.
     bool mayExtendLeases(Instant now) const
     {
         return m_isOwner && now < m_lastRenewal + m_settings.leaseExtensionTime;
     }
     const TermRecord &term() const { return m_term; }
     std::uint64_t heartbeatVersion() const { return m_heartbeatVersion; }
-    /// Returns whether the owner's heartbeat was seen within its lease.
+    /// Returns whether the owner's term or heartbeat has changed within the lease time.
     bool isOwnerAlive(Instant now) const { return now - m_lastChange <= m_settings.lease; }
 
 private:
@@ -97,8 +101,8 @@
     bool m_isOwner = false;
     bool m_isEligible = true;
     bool m_isCallInFlight = false;
-    std::int64_t m_nextGeneration = 0; ///< Of the take-over that is under way.
-    /// When the rows were last seen to change, or when contact with the table was regained.
+    std::int64_t m_nextGeneration = 0; ///< The generation of the take-over in flight.
+    /// When a change of the rows was last observed, or contact with the table was restored.
     Instant m_lastChange;
     Instant m_lastContact; ///< When the rows were last read.
     Instant m_lastRenewal; ///< When the last successful renewal was sent.
--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr double kAlike = 0.9; ///< A share over this part of another's counts as the same.
+/// Processor shares count as equal when their ratio is at least this.
+constexpr double kEqualShareRatio = 0.9;
 
 } // namespace
 
@@ -22,9 +23,9 @@
 void Ownership::recordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now)
 {
     if (term.version < m_term.version)
-        return; // an answer that was overtaken
+        return; // an answer that arrived out of order
     const bool isSameTerm = term.version == m_term.version;
-    // After an outage of the table for all, its owner comes back with the others and renews.
+    // After an outage of the table, the owner regains contact, too, and gets time to renew.
     const bool wasCutOff = now - m_lastContact > m_settings.maxContactGap;
     if (!m_wasRead || !isSameTerm || heartbeatVersion > m_heartbeatVersion || wasCutOff)
         m_lastChange = now;
@@ -37,12 +38,12 @@
                                     : heartbeatVersion;
 }
 
-/// Returns how much longer this process waits than a strong one.
+/// Returns the extra wait of this process before a take-over, by its processor share.
 Millis Ownership::takeOverDelay() const
 {
-    // Before the first term nobody knows what the others have.
+    // Before the first term there is no last owner to compare with.
     const double wanted = m_term.version == 0 ? kSufficientShare : m_term.processorShare;
-    if (m_settings.processorShare < wanted * kAlike)
+    if (m_settings.processorShare < wanted * kEqualShareRatio)
         return m_settings.belowOwnerDelay;
     return m_settings.processorShare < kSufficientShare ? m_settings.lowShareDelay : Millis(0);
 }
@@ -57,7 +58,7 @@
         m_isCallInFlight = true;
         return Step::Renew;
     }
-    // A call that is sent during an outage may be carried out when the table is back.
+    // A call that is sent during an outage may still be carried out after it.
     if (!m_isEligible || now - m_lastContact > m_settings.maxContactGap)
         return Step::None;
     const bool isVacant = m_term.owner.empty() || m_term.owner == m_self;
@@ -78,7 +79,7 @@
     }
     m_isOwner = true;
     m_term = {.owner = m_self,
-              .generation = m_nextGeneration, // the row itself may have been seen before
+              .generation = m_nextGeneration, // m_term may already contain this take-over
               .version = version,
               .processorShare = m_settings.processorShare};
     m_heartbeatVersion = version;
--- a/tests/ownership/ownership_test.cpp
+++ b/tests/ownership/ownership_test.cpp
@@ -10,7 +10,8 @@
 {
 protected:
     void advance(Millis time) { now += time; }
-    void own()
+    /// Makes this process the owner of a fleet without an owner.
+    void becomeOwner()
     {
         ownership.recordsRead({}, 0, now);
         REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
@@ -33,7 +34,7 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_vacantTerm_takesOverAtOnce", "[ownership]")
 {
-    own();
+    becomeOwner();
     CHECK(ownership.maySendCommands(now));
     CHECK(ownership.term().version == 5);
     CHECK(ownership.term().generation == 1);
@@ -41,8 +42,8 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_ownerRenews_isLeftAlone", "[ownership]")
 {
-    for (std::uint64_t beat = 10; beat < 20; ++beat) {
-        ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, beat, now);
+    for (std::uint64_t heartbeat = 10; heartbeat < 20; ++heartbeat) {
+        ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, heartbeat, now);
         advance(settings.lease - Millis(1));
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
     }
@@ -62,7 +63,7 @@
 TEST_CASE_METHOD(OwnershipTest, "Ownership_renewalsFail_stopsOrdersBeforeOthersMayTakeOver",
                  "[ownership]")
 {
-    own();
+    becomeOwner();
     const Instant renewed = now;
     advance(settings.renewInterval);
     REQUIRE(ownership.nextStep(now) == Ownership::Step::Renew);
@@ -75,7 +76,7 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_slowRenewal_countsFromWhenItWasSent", "[ownership]")
 {
-    own();
+    becomeOwner();
     advance(settings.renewInterval);
     const Instant sent = now;
     REQUIRE(ownership.nextStep(now) == Ownership::Step::Renew);
@@ -86,7 +87,7 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_anotherTermSeen_endsOwnership", "[ownership]")
 {
-    own();
+    becomeOwner();
     ownership.recordsRead({.owner = "other", .generation = 2, .version = 8}, 8, now);
     CHECK_FALSE(ownership.isOwner());
     CHECK_FALSE(ownership.maySendCommands(now));
@@ -94,7 +95,7 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_overtakenAnswer_changesNothing", "[ownership]")
 {
-    own();
+    becomeOwner();
     ownership.recordsRead({.owner = "earlier", .generation = 0, .version = 2}, 3, now);
     CHECK(ownership.isOwner());
 }
@@ -122,15 +123,15 @@
 {
     const TermRecord term{.owner = "other", .generation = 1, .version = 7};
     ownership.recordsRead(term, 10, now);
-    for (int quarter = 0; quarter < 16; ++quarter) { // the table answers nobody
+    for (int quarter = 0; quarter < 16; ++quarter) { // an outage of the table for all processes
         advance(Millis(250));
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
     }
     ownership.recordsRead(term, 10, now);
     CHECK(ownership.nextStep(now) == Ownership::Step::None);
-    // The owner did not come back with the table.
-    const Instant back = now;
-    while (now < back + settings.lease) {
+    // The owner has not renewed since the table answers again.
+    const Instant outageEnd = now;
+    while (now < outageEnd + settings.lease) {
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
         advance(Millis(500));
         ownership.recordsRead(term, 10, now);
@@ -141,7 +142,7 @@
 TEST_CASE_METHOD(OwnershipTest, "Ownership_ownRowSeenBeforeTheAnswer_countsOneGeneration",
                  "[ownership]")
 {
-    // Run numbers follow from the generation: two owners must never share one.
+    // Run numbers are derived from the generation, so two owners must never have the same one.
     ownership.recordsRead({.owner = "", .generation = 4, .version = 7}, 0, now);
     REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
     ownership.recordsRead({.owner = "self", .generation = 5, .version = 8}, 8, now);
@@ -151,8 +152,8 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_weakerThanLastOwner_leavesItToTheStrong", "[ownership]")
 {
-    // One strong and many weak processes: the first heartbeat missed must not put the fleet into
-    // the hands of one that can't keep up.
+    // Guards against a take-over, after one missed heartbeat, by a process with too little
+    // processor time to keep up while another one has enough.
     settings.processorShare = 0.12;
     Ownership weak{"weak", settings, now};
     settings.processorShare = 0.5;
@@ -171,7 +172,7 @@
     CHECK(weak.nextStep(now) == Ownership::Step::None);
     CHECK(strong.nextStep(now) == Ownership::Step::TakeOver);
     wait(settings.belowOwnerDelay);
-    CHECK(weak.nextStep(now) == Ownership::Step::TakeOver); // no strong one is left
+    CHECK(weak.nextStep(now) == Ownership::Step::TakeOver); // no other process has taken over
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_weakerAtHandOver_leavesItToTheStrong", "[ownership]")
