--- a/include/oleanderhall/jobs/fleetconfig.h
+++ b/include/oleanderhall/jobs/fleetconfig.h
@@ -8,23 +8,22 @@
 
 namespace oleanderhall {
 
-/// One pool of workers of the configuration.
+/// The configuration of one pool of workers.
 struct PoolConfig
 {
     ServiceId service;
-    bool rejectsOverload = false; ///< Its workers turn away what does not fit.
-    bool isSpare = false; ///< Its hosts are off and cost nothing.
+    bool rejectsOverload = false; ///< Its workers reject tasks that exceed their free capacity.
+    bool isSpare = false; ///< Its hosts are off and cause no cost.
 };
 
-/// The operators' configuration in force.
+/// The operators' configuration that is currently in force.
 struct FleetConfig
 {
     ConfigVersion version;
     std::vector<QueueConfig> queues;
     std::vector<PoolConfig> pools;
 
-    /// Returns the queue whose host matches and whose prefix is the longest that `path` begins
-    /// with, or nothing.
+    /// Returns the queue of `host` with the longest prefix that `path` starts with, or nullptr.
     const QueueConfig *find(std::string_view host, std::string_view path) const
     {
         const QueueConfig *best = nullptr;
--- a/include/oleanderhall/jobs/jobcodec.h
+++ b/include/oleanderhall/jobs/jobcodec.h
@@ -7,9 +7,9 @@
 
 namespace oleanderhall {
 
-/// Returns the stored text of a job.
+/// Returns `job` encoded as JSON for storage. Does not contain the job's id.
 std::string encodeJob(const JobSpec &job);
-/// Returns the job `id` from its stored text, or nothing when it can't be read.
+/// Decodes what encodeJob() returned for the job `id`. Returns nothing if `text` is invalid.
 std::optional<JobSpec> decodeJob(JobId id, const std::string &text);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/jobs/jobprogress.h
+++ b/include/oleanderhall/jobs/jobprogress.h
@@ -10,7 +10,7 @@
 
 namespace oleanderhall {
 
-/// What is kept of one task that has ended at least once.
+/// The stored progress of one task, of which at least one run has ended.
 struct TaskProgress
 {
     int occurrence = 0;
@@ -18,29 +18,30 @@
     int index = 0;
     bool isDone = false;
     int failures = 0;
-    std::vector<std::int64_t> endedRuns; ///< Those whose end was noted, in any order.
+    std::vector<std::int64_t>
+        endedRuns; ///< Numbers of the runs whose end is recorded, in any order.
     std::string checkpoint;
 
     friend bool operator==(const TaskProgress &, const TaskProgress &) = default;
 };
 
-/// The durable record of how far a job is. Tasks that never ended are not listed.
+/// The stored progress of a job. Tasks without an ended run are not listed.
 struct JobProgress
 {
     JobId id;
     JobState state = JobState::Queued;
-    std::int64_t acceptedMs = 0; ///< On the table service's steady clock.
-    /// Its tasks may have been started. A job that is not released has certainly run nowhere, so a
-    /// new owner need not look for it.
+    std::int64_t acceptedMs = 0; ///< On the table service's monotonic clock.
+    /// The job's tasks may have been started. No task of a job that is not released has ever run,
+    /// so a new owner need not search the workers for it.
     bool isReleased = false;
     std::vector<TaskProgress> tasks;
 
     friend bool operator==(const JobProgress &, const JobProgress &) = default;
 };
 
-/// Returns the stored text of `progress`.
+/// Returns `progress` encoded as JSON for storage. Does not contain the job's id.
 std::string encodeProgress(const JobProgress &progress);
-/// Returns the progress of job `id` from its stored text, or nothing when it can't be read.
+/// Decodes what encodeProgress() returned for the job `id`. Returns nothing if `text` is invalid.
 std::optional<JobProgress> decodeProgress(JobId id, const std::string &text);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/jobs/jobspec.h
+++ b/include/oleanderhall/jobs/jobspec.h
@@ -10,19 +10,19 @@
 
 namespace oleanderhall {
 
-/// A JobSpec is a job as its caller submitted it, with the rule of its queue at that time.
+/// A JobSpec is a job as submitted by its caller, with the configuration of its queue at that time.
 struct JobSpec
 {
     JobId id;
     QueueConfig queue;
-    ConfigVersion config; ///< Of the configuration that the job was accepted under.
-    std::string payload; ///< Handed to every task unread.
+    ConfigVersion config; ///< The configuration version at acceptance.
+    std::string payload; ///< Passed unchanged to every task.
     std::vector<StepSpec> steps;
-    int occurrences = 0; ///< 0 for a job that runs once, at once.
-    std::int64_t firstDueMs = 0; ///< Of occurrence 0, in milliseconds since 1970.
+    int occurrences = 0; ///< 0 for a job that runs once and immediately.
+    std::int64_t firstDueMs = 0; ///< Start of occurrence 0, in milliseconds since 1970.
     std::int64_t intervalMs = 0; ///< Between occurrences.
-    std::int64_t acceptedMs = 0; ///< On the table service's steady clock.
-    bool isReleased = false; ///< The owner may start it without a further record.
+    std::int64_t acceptedMs = 0; ///< On the table service's monotonic clock.
+    bool isReleased = false; ///< The owner may start it without storing a release first.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/jobs/jobstate.h
+++ b/include/oleanderhall/jobs/jobstate.h
@@ -2,9 +2,10 @@
 
 namespace oleanderhall {
 
-/// What callers are told about a job.
+/// The state of a job as reported to callers.
 enum class JobState { Queued, Running, Completed, Failed, Cancelled };
 
+/// Returns whether a job in `state` never changes its state again.
 inline bool isFinal(JobState state)
 {
     return state != JobState::Queued && state != JobState::Running;
--- a/include/oleanderhall/jobs/queueconfig.h
+++ b/include/oleanderhall/jobs/queueconfig.h
@@ -8,26 +8,28 @@
 
 namespace oleanderhall {
 
-/// How a queue's policy service is asked which workers may run a step.
+/// Limits for requests to a queue's policy service, which decides on which workers a step may run.
 struct AdviceConfig
 {
-    Millis decisionTime{0};
-    Millis timePerWorker{0};
-    Millis ticketLifetime{0};
+    Millis decisionTime{0}; ///< The fixed part of the time for an answer.
+    Millis timePerWorker{0}; ///< The further time for each worker in the request.
+    Millis ticketLifetime{0}; ///< How long a ticket of the service is valid.
 };
 
-/// A QueueConfig is one queue of the configuration: where callers reach it and how its jobs run.
+/// The configuration of one queue: where callers reach it and how its jobs run.
 struct QueueConfig
 {
     std::string name;
-    std::string host; ///< The Host header that callers send.
-    std::string prefix; ///< The path prefix; the job's id follows it.
+    std::string host; ///< The value of the callers' Host header.
+    std::string prefix; ///< The path up to the job's id.
     ServiceId service; ///< The pool of workers that runs the queue's tasks.
-    int priority = 0; ///< 0 comes first.
-    int maxAttempts = 1; ///< Failed runs of a task before its job fails.
-    double stretch = 1; ///< The time objective is this many times the longest chain of work...
-    Millis allowance{0}; ///< ...and this much more.
-    Millis timeout{0}; ///< For one call of a caller.
+    int priority = 0; ///< 0 is the highest.
+    int maxAttempts = 1; ///< Failed runs of a task after which its job fails.
+    /// The objective for a job's completion time is `stretch` times its critical path, plus
+    /// `allowance`.
+    double stretch = 1;
+    Millis allowance{0};
+    Millis timeout{0}; ///< The time limit of one request of a caller.
     std::optional<AdviceConfig> advice;
 };
 
--- a/include/oleanderhall/jobs/resources.h
+++ b/include/oleanderhall/jobs/resources.h
@@ -4,16 +4,18 @@
 
 namespace oleanderhall {
 
-/// What a task asks for and a worker offers.
+/// Resources that a task requests or a worker provides.
 struct Resources
 {
     std::int64_t milliCores = 0;
     std::int64_t memoryMb = 0;
     std::int64_t gpus = 0;
 
-    bool fitsInto(const Resources &room) const
+    /// Returns whether no resource exceeds the one in `available`.
+    bool fitsInto(const Resources &available) const
     {
-        return milliCores <= room.milliCores && memoryMb <= room.memoryMb && gpus <= room.gpus;
+        return milliCores <= available.milliCores && memoryMb <= available.memoryMb
+            && gpus <= available.gpus;
     }
     Resources &operator+=(const Resources &other)
     {
--- a/include/oleanderhall/jobs/stepspec.h
+++ b/include/oleanderhall/jobs/stepspec.h
@@ -8,25 +8,25 @@
 
 namespace oleanderhall {
 
-/// A StepSpec describes tasks that are alike and may run side by side.
+/// A StepSpec describes identical tasks of a job that may run in parallel.
 struct StepSpec
 {
-    int count = 1;
-    Resources need; ///< Of each task. A task that fills does not reserve the cores.
-    Millis estimate{0}; ///< The caller's guess at one task's run time; often far off.
-    std::vector<int> after; ///< Earlier steps that must be done first, counted from 0.
-    bool savesProgress = false; ///< Tasks write checkpoints and can resume from one.
-    bool isGang = false; ///< Tasks work only while all of them run.
+    int count = 1; ///< The number of tasks.
+    Resources need; ///< Of each task. With `usesIdleCores`, the cores are not reserved.
+    Millis estimate{0}; ///< The caller's estimate of a task's run time; often inaccurate.
+    std::vector<int> after; ///< Indexes of earlier steps that must be completed first.
+    bool savesProgress = false; ///< Tasks write checkpoints and resume from the last one.
+    bool isGang = false; ///< Tasks make progress only while all of them run.
     bool needsOneRack = false; ///< Tasks are slower when they run on more than one rack.
-    bool allowsSpeculation = false; ///< Copies of a task may run in parallel.
+    bool allowsSpeculation = false; ///< Two copies of a task may run in parallel.
     bool isLongRunning = false; ///< Tasks run until the job is cancelled.
-    bool usesIdleCores = false; ///< Tasks use only the cores that others leave idle.
-    std::string requiredLabel; ///< A label that the worker must have; empty for none.
-    std::string dataRack; ///< The rack where the data lies; empty for none.
-    int maxPerWorker = 0; ///< Tasks of one occurrence on one worker; 0 for no limit.
-    std::string image;
-    Millis latencyTarget{0}; ///< For the tail of a serving task's answers; 0 for none.
-    int maxDisrupted = -1; ///< Tasks that maintenance may take away at once; -1 for no budget.
+    bool usesIdleCores = false; ///< Tasks use only cores that other tasks leave idle.
+    std::string requiredLabel; ///< A label that the worker must have; empty if any worker will do.
+    std::string dataRack; ///< The rack that stores the input data; empty for none.
+    int maxPerWorker = 0; ///< Limit for tasks of one occurrence; 0 for none.
+    std::string image; ///< The image that the tasks run.
+    Millis latencyTarget{0}; ///< For the tail latency of a serving task; 0 for none.
+    int maxDisrupted = -1; ///< Tasks that maintenance may disrupt at once; -1 for no limit.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/jobs/storetimeestimator.h
+++ b/include/oleanderhall/jobs/storetimeestimator.h
@@ -6,24 +6,25 @@
 
 namespace oleanderhall {
 
-/// A StoreTimeEstimator tells how long a job that arrives now will take to be stored, where
-/// transactions are sent one after another and each takes all that waits. A job that can't be
-/// stored within its caller's time is better refused at once: the caller may come back, or go
-/// elsewhere.
+/// A StoreTimeEstimator estimates how long it takes to store a job that arrives now. Transactions
+/// are sent one at a time, and each stores all jobs that are waiting. A job that can't be stored
+/// within its caller's time limit is better rejected at once, so that the caller can retry later or
+/// use another entry host.
 class StoreTimeEstimator
 {
 public:
-    /// A transaction is sent at `now`; one is in flight at a time.
+    /// Records that a transaction is sent at `now`. Only one may be in flight.
     void onSent(Instant now) { m_sentAt = now; }
-    /// The transaction in flight has ended.
+    /// Records that the transaction in flight has ended at `now`, with or without success.
     void onCompleted(Instant now);
-    /// Returns the time until a job that arrives now is stored, as far as is known: 0 when nothing
-    /// is in flight, as then it is sent at once and shows how the table is.
+    /// Returns the expected time until a job that arrives now is stored. It is 0 when no
+    /// transaction is in flight: the job is then sent at once, and its transaction measures the
+    /// table's speed.
     Millis estimate(Instant now) const;
 
 private:
-    std::optional<Instant> m_sentAt; ///< Of the transaction in flight.
-    Millis m_lastDuration{0}; ///< How long the last one took.
+    std::optional<Instant> m_sentAt; ///< Start of the transaction in flight.
+    Millis m_lastDuration{0}; ///< Of the last transaction.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/jobs/taskid.h
+++ b/include/oleanderhall/jobs/taskid.h
@@ -8,15 +8,15 @@
 
 namespace oleanderhall {
 
-/// Names a job. Callers choose it; its text is 16 hexadecimal digits.
+/// Identifies a job. Callers choose it; it is written as 16 hexadecimal digits.
 using JobId = StrongNumber<struct JobTag>;
 
-/// Returns the text of `id`: 16 lower-case hexadecimal digits.
+/// Returns `id` as 16 lower-case hexadecimal digits.
 std::string textOf(JobId id);
-/// Returns the job named by `text`, or nothing when it is not 16 hexadecimal digits.
+/// Parses a job's id. Returns nothing if `text` is not exactly 16 hexadecimal digits.
 std::optional<JobId> parseJobId(std::string_view text);
 
-/// Names one task: the job, its occurrence (0 unless the job repeats), step and index.
+/// Identifies one task by its job, occurrence (0 unless the job repeats), step and index.
 struct TaskId
 {
     JobId job;
@@ -27,9 +27,9 @@
     friend auto operator<=>(const TaskId &, const TaskId &) = default;
 };
 
-/// Returns the text of `id`: its four parts joined by dots.
+/// Returns `id` as its four parts joined by dots.
 std::string textOf(const TaskId &id);
-/// Returns the task named by `text`, or nothing when a part is missing or not a number.
+/// Parses what textOf() returned. Returns nothing if a part is missing, negative or not a number.
 std::optional<TaskId> parseTaskId(std::string_view text);
 
 } // namespace oleanderhall
--- a/src/jobs/jobcodec.cpp
+++ b/src/jobs/jobcodec.cpp
@@ -8,12 +8,13 @@
 
 using web::json::value;
 
-constexpr int kGang = 1 << 0;
-constexpr int kOneRack = 1 << 1;
-constexpr int kTwice = 1 << 2;
-constexpr int kLongRunning = 1 << 3;
-constexpr int kFills = 1 << 4;
-constexpr int kSaves = 1 << 5;
+// Bits of a step's "flags".
+constexpr int kGangFlag = 1 << 0;
+constexpr int kOneRackFlag = 1 << 1;
+constexpr int kSpeculationFlag = 1 << 2;
+constexpr int kLongRunningFlag = 1 << 3;
+constexpr int kIdleCoresFlag = 1 << 4;
+constexpr int kSavesProgressFlag = 1 << 5;
 
 value encodeStep(const StepSpec &step)
 {
@@ -27,10 +28,11 @@
     for (std::size_t index = 0; index < step.after.size(); ++index)
         after[index] = value(step.after[index]);
     record["after"] = after;
-    record["flags"] = value(
-        (step.isGang ? kGang : 0) | (step.needsOneRack ? kOneRack : 0)
-        | (step.allowsSpeculation ? kTwice : 0) | (step.isLongRunning ? kLongRunning : 0)
-        | (step.usesIdleCores ? kFills : 0) | (step.savesProgress ? kSaves : 0));
+    record["flags"] = value((step.isGang ? kGangFlag : 0) | (step.needsOneRack ? kOneRackFlag : 0)
+                            | (step.allowsSpeculation ? kSpeculationFlag : 0)
+                            | (step.isLongRunning ? kLongRunningFlag : 0)
+                            | (step.usesIdleCores ? kIdleCoresFlag : 0)
+                            | (step.savesProgress ? kSavesProgressFlag : 0));
     record["label"] = value(step.requiredLabel);
     record["rack"] = value(step.dataRack);
     record["spread"] = value(step.maxPerWorker);
@@ -51,12 +53,12 @@
     for (const value &earlier : record.at("after").as_array())
         step.after.push_back(earlier.as_integer());
     const int flags = record.at("flags").as_integer();
-    step.isGang = (flags & kGang) != 0;
-    step.needsOneRack = (flags & kOneRack) != 0;
-    step.allowsSpeculation = (flags & kTwice) != 0;
-    step.isLongRunning = (flags & kLongRunning) != 0;
-    step.usesIdleCores = (flags & kFills) != 0;
-    step.savesProgress = (flags & kSaves) != 0;
+    step.isGang = (flags & kGangFlag) != 0;
+    step.needsOneRack = (flags & kOneRackFlag) != 0;
+    step.allowsSpeculation = (flags & kSpeculationFlag) != 0;
+    step.isLongRunning = (flags & kLongRunningFlag) != 0;
+    step.usesIdleCores = (flags & kIdleCoresFlag) != 0;
+    step.savesProgress = (flags & kSavesProgressFlag) != 0;
     step.requiredLabel = record.at("label").as_string();
     step.dataRack = record.at("rack").as_string();
     step.maxPerWorker = record.at("spread").as_integer();
@@ -138,7 +140,7 @@
         job.isReleased = record.at("released").as_bool();
         return job;
     } catch (const std::exception &) {
-        return std::nullopt; // the caller logs it with the row's key
+        return std::nullopt; // callers log it with the job's id
     }
 }
 
--- a/src/jobs/jobprogress.cpp
+++ b/src/jobs/jobprogress.cpp
@@ -8,7 +8,7 @@
 
 using web::json::value;
 
-constexpr std::size_t kFields = 7; // of one task's array
+constexpr std::size_t kTaskFields = 7; // elements of a task's array
 
 value encodeTask(const TaskProgress &task)
 {
@@ -22,8 +22,8 @@
 
 TaskProgress decodeTask(const value &row)
 {
-    if (row.size() != kFields)
-        throw web::json::json_exception("a task's record has another length");
+    if (row.size() != kTaskFields)
+        throw web::json::json_exception("a task's record has a wrong number of elements");
     TaskProgress task{.occurrence = row.at(0).as_integer(),
                       .step = row.at(1).as_integer(),
                       .index = row.at(2).as_integer(),
@@ -68,7 +68,7 @@
         }
         return progress;
     } catch (const web::json::json_exception &) {
-        return std::nullopt; // the caller logs it with the row's key
+        return std::nullopt; // callers log it with the job's id
     }
 }
 
--- a/src/jobs/storetimeestimator.cpp
+++ b/src/jobs/storetimeestimator.cpp
@@ -16,9 +16,9 @@
     if (!m_sentAt)
         return Millis(0);
     const auto elapsed = std::chrono::duration_cast<Millis>(now - *m_sentAt);
-    // The one in flight takes at least as long as it already has, and so does the next.
-    const Millis each = std::max(m_lastDuration, elapsed);
-    return (each - elapsed) + each;
+    // The transaction in flight takes at least as long as it already has, and so does the next.
+    const Millis duration = std::max(m_lastDuration, elapsed);
+    return (duration - elapsed) + duration;
 }
 
 } // namespace oleanderhall
--- a/src/jobs/taskid.cpp
+++ b/src/jobs/taskid.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kJobIdDigits = 16;
 constexpr int kHexBase = 16;
-constexpr std::size_t kNumberParts = 3;
+constexpr std::size_t kNumberParts = 3; // occurrence, step and index
 
 } // namespace
 
--- a/tests/jobs/storetimeestimator_test.cpp
+++ b/tests/jobs/storetimeestimator_test.cpp
@@ -1,5 +1,6 @@
-// Pattern: the table turns slow for some seconds while jobs keep arriving, each with a caller that
-// waits 2.2 s and comes back when a refusal says so, at the earliest after a second.
+// Guards against callers that wait for nothing: the table is slow for 5 s while jobs keep arriving.
+// Each caller waits up to 2.2 s, and retries after the time that a rejection names, but not within
+// the first second.
 #include "oleanderhall/jobs/storetimeestimator.h"
 
 #include <catch2/catch.hpp>
@@ -13,121 +14,126 @@
 
 namespace {
 
-constexpr int kPatience = 2200; // ms
-constexpr int kComeBack = 1000; // ms after a refusal
-constexpr int kTries = 4;
-constexpr int kArrivalGap = 100; // ms
-constexpr int kSlowFrom = 2000; // ms
-constexpr int kSlowUntil = 7000; // ms
-constexpr int kSlowTime = 3000; // ms of a transaction meanwhile
-constexpr int kUsualTime = 5; // ms
-constexpr int kEnd = 14000; // ms
+constexpr int kCallerTimeoutMs = 2200;
+constexpr int kMinRetryDelayMs = 1000; // after a rejection
+constexpr int kMaxAttempts = 4;
+constexpr int kArrivalIntervalMs = 100;
+constexpr int kSlowFromMs = 2000;
+constexpr int kSlowUntilMs = 7000;
+constexpr int kSlowTransactionMs = 3000;
+constexpr int kUsualTransactionMs = 5;
+constexpr int kEndMs = 14000;
 
 struct Outcome
 {
-    int stored = 0; ///< While a caller waited.
-    int heldInVain = 0; ///< Ms that callers waited for nothing.
+    int stored = 0; ///< Jobs that were stored within their caller's time limit.
+    int wastedWaitMs = 0; ///< Total wait of callers whose job was not stored in time.
 };
 
-/// Plays the pattern; `refusesEarly` refuses what can't be stored in time.
-Outcome play(bool refusesEarly)
+/// Runs the simulation. With `rejectsEarly`, jobs that are not expected to be stored in time are
+/// rejected at once.
+Outcome simulate(bool rejectsEarly)
 {
     struct Caller
     {
-        int from = 0;
-        int triesLeft = kTries;
+        int arrival = 0;
+        int attemptsLeft = kMaxAttempts;
     };
     const auto at = [](int ms) { return Instant(std::chrono::hours(1)) + Millis(ms); };
-    StoreTimeEstimator time;
+    StoreTimeEstimator estimator;
     Outcome outcome;
     std::deque<Caller> arriving;
-    for (int now = 0; now < kEnd - 4000; now += kArrivalGap)
+    for (int now = 0; now < kEndMs - 4000; now += kArrivalIntervalMs)
         arriving.push_back({now});
     std::vector<Caller> queue;
     std::vector<Caller> inFlight;
-    int ends = -1;
-    const auto refuse = [&](Caller caller, int now) {
-        outcome.heldInVain += now - caller.from;
-        const int expected = refusesEarly ? static_cast<int>(time.estimate(at(now)).count()) : 0;
-        if (--caller.triesLeft > 0)
-            arriving.push_back({now + std::max(kComeBack, expected), caller.triesLeft});
+    int endsAt = -1;
+    const auto reject = [&](Caller caller, int now) {
+        outcome.wastedWaitMs += now - caller.arrival;
+        const int expected = rejectsEarly ? static_cast<int>(estimator.estimate(at(now)).count())
+                                          : 0;
+        if (--caller.attemptsLeft > 0)
+            arriving.push_back({now + std::max(kMinRetryDelayMs, expected), caller.attemptsLeft});
     };
-    for (int now = 0; now < kEnd; ++now) {
-        if (ends == now) {
-            time.onCompleted(at(now));
+    for (int now = 0; now < kEndMs; ++now) {
+        if (endsAt == now) {
+            estimator.onCompleted(at(now));
             for (const Caller &caller : inFlight)
-                outcome.stored += now - caller.from <= kPatience ? 1 : 0;
+                outcome.stored += now - caller.arrival <= kCallerTimeoutMs ? 1 : 0;
             for (const Caller &caller : inFlight) {
-                if (now - caller.from > kPatience)
-                    outcome.heldInVain += kPatience; // its outcome is not known to the caller
+                if (now - caller.arrival > kCallerTimeoutMs)
+                    outcome.wastedWaitMs += kCallerTimeoutMs; // the caller doesn't learn the result
             }
             inFlight.clear();
-            ends = -1;
+            endsAt = -1;
         }
         for (std::size_t left = arriving.size(); left > 0; --left) {
             const Caller caller = arriving.front();
             arriving.pop_front();
-            if (caller.from > now)
+            if (caller.arrival > now)
                 arriving.push_back(caller);
-            else if (refusesEarly && time.estimate(at(now)) > Millis(kPatience))
-                refuse(caller, now);
+            else if (rejectsEarly && estimator.estimate(at(now)) > Millis(kCallerTimeoutMs))
+                reject(caller, now);
             else
                 queue.push_back(caller);
         }
         std::vector<Caller> waiting;
         for (const Caller &caller : queue) {
-            if (now - caller.from >= kPatience)
-                refuse(caller, now);
+            if (now - caller.arrival >= kCallerTimeoutMs)
+                reject(caller, now);
             else
                 waiting.push_back(caller);
         }
         queue = std::move(waiting);
-        if (ends < 0 && !queue.empty()) {
+        if (endsAt < 0 && !queue.empty()) {
             inFlight = std::exchange(queue, {});
-            time.onSent(at(now));
-            const bool isSlow = now >= kSlowFrom && now < kSlowUntil;
-            ends = now + (isSlow ? kSlowTime : kUsualTime);
+            estimator.onSent(at(now));
+            const bool isSlow = now >= kSlowFromMs && now < kSlowUntilMs;
+            endsAt = now + (isSlow ? kSlowTransactionMs : kUsualTransactionMs);
         }
     }
     return outcome;
 }
 
-class StoreTimeTest
+class StoreTimeEstimatorTest
 {
 protected:
     Instant now{std::chrono::hours(1)};
-    StoreTimeEstimator time;
+    StoreTimeEstimator estimator;
 };
 
 } // namespace
 
-TEST_CASE("StoreTime_slowTable_callersAreNotHeldInVain", "[jobs]")
+TEST_CASE("StoreTimeEstimator_slowTable_callersDoNotWaitInVain", "[jobs]")
 {
-    const Outcome early = play(true);
-    const Outcome late = play(false);
-    INFO("stored " << early.stored << " and " << late.stored << ", held in vain "
-                   << early.heldInVain << " ms and " << late.heldInVain << " ms");
+    const Outcome early = simulate(true);
+    const Outcome late = simulate(false);
+    INFO("stored " << early.stored << " and " << late.stored << ", wasted wait "
+                   << early.wastedWaitMs << " ms and " << late.wastedWaitMs << " ms");
     CHECK(early.stored >= late.stored);
-    CHECK(early.heldInVain < late.heldInVain);
+    CHECK(early.wastedWaitMs < late.wastedWaitMs);
 }
 
-TEST_CASE_METHOD(StoreTimeTest, "StoreTime_nothingInFlight_expectsNoWait", "[jobs]")
+TEST_CASE_METHOD(StoreTimeEstimatorTest, "StoreTimeEstimator_nothingInFlight_expectsNoWait",
+                 "[jobs]")
 {
-    time.onSent(now);
-    time.onCompleted(now + Millis(3000));
-    CHECK(time.estimate(now + Millis(3000)) == Millis(0));
+    estimator.onSent(now);
+    estimator.onCompleted(now + Millis(3000));
+    CHECK(estimator.estimate(now + Millis(3000)) == Millis(0));
 }
 
-TEST_CASE_METHOD(StoreTimeTest, "StoreTime_inFlight_expectsTheRestAndOneMore", "[jobs]")
+TEST_CASE_METHOD(StoreTimeEstimatorTest, "StoreTimeEstimator_inFlight_expectsTheRestAndOneMore",
+                 "[jobs]")
 {
-    time.onSent(now);
-    time.onCompleted(now + Millis(400));
-    time.onSent(now + Millis(400));
-    CHECK(time.estimate(now + Millis(500)) == Millis(700));
+    estimator.onSent(now);
+    estimator.onCompleted(now + Millis(400));
+    estimator.onSent(now + Millis(400));
+    CHECK(estimator.estimate(now + Millis(500)) == Millis(700));
 }
 
-TEST_CASE_METHOD(StoreTimeTest, "StoreTime_inFlightLongerThanTheLast_expectsAsLongAgain", "[jobs]")
+TEST_CASE_METHOD(StoreTimeEstimatorTest,
+                 "StoreTimeEstimator_inFlightLongerThanTheLast_expectsAsLongAgain", "[jobs]")
 {
-    time.onSent(now);
-    CHECK(time.estimate(now + Millis(1500)) == Millis(1500));
+    estimator.onSent(now);
+    CHECK(estimator.estimate(now + Millis(1500)) == Millis(1500));
 }
