--- a/include/oleanderhall/core/clock.h
+++ b/include/oleanderhall/core/clock.h
@@ -6,10 +6,10 @@
 
 namespace oleanderhall {
 
-/// Returns the time on a monotonic clock that goes on while the machine is suspended, so that a
-/// lease never looks longer than it is after a pause.
+/// Returns the time on a monotonic clock that also advances while the machine is suspended, so that
+/// leases expire on time after a suspension.
 Instant monotonicNow();
-/// Returns the time of day in milliseconds since 1970. It may jump.
+/// Returns the wall-clock time in milliseconds since 1970. It may jump when the clock is adjusted.
 std::int64_t wallClockMs();
 
 } // namespace oleanderhall
--- a/include/oleanderhall/core/errors.h
+++ b/include/oleanderhall/core/errors.h
@@ -9,7 +9,7 @@
 
 namespace oleanderhall {
 
-/// Thrown when a document is turned down. It carries every finding; nothing was changed.
+/// Thrown when a document is rejected. It contains all findings. Nothing has been changed.
 class InvalidDocument : public std::runtime_error
 {
 public:
@@ -23,21 +23,21 @@
     FindingList m_findings;
 };
 
-/// Thrown when the platform refused a call or could not be reached before the call was sent. The
-/// call had no effect.
+/// Thrown when the platform rejected a call or was unreachable before the call was sent. The call
+/// had no effect.
 class PlatformUnavailable : public std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
 
-/// Thrown when a call to the platform was sent and no usable answer came. It may have had its
-/// effect, or may have it later.
+/// Thrown when a call to the platform was sent but got no valid answer. The call may have taken
+/// effect, or may still do so later.
 class OutcomeUnknown : public std::runtime_error
 {
     using std::runtime_error::runtime_error;
 };
 
-/// Thrown when a conditional write found another value than the condition named.
+/// Thrown when the condition of a conditional write was not met.
 class ConditionFailed : public std::runtime_error
 {
 public:
--- a/include/oleanderhall/core/finding.h
+++ b/include/oleanderhall/core/finding.h
@@ -4,16 +4,15 @@
 
 namespace oleanderhall {
 
-/// A Finding is one fault in an operator's document or settings: the file, the place in it as a
-/// JSON pointer or flag name, what is wrong and what would be right.
+/// A Finding is one error in an operator's document or settings.
 struct Finding
 {
     std::string file;
-    std::string location;
-    std::string problem;
-    std::string expected;
+    std::string location; ///< A JSON pointer or the name of a flag.
+    std::string problem; ///< What is wrong.
+    std::string expected; ///< What would be valid.
 
-    /// Returns the finding as one line of text for people.
+    /// Returns the finding as one line of readable text.
     std::string text() const
     {
         return file + ":" + location + ": " + problem + "; expected " + expected;
--- a/include/oleanderhall/core/findinglist.h
+++ b/include/oleanderhall/core/findinglist.h
@@ -8,7 +8,7 @@
 
 namespace oleanderhall {
 
-/// A FindingList collects every fault of a document, so that an operator sees all at once.
+/// A FindingList collects all errors of a document, so that operators see them at once.
 class FindingList
 {
 public:
@@ -16,7 +16,7 @@
     bool empty() const { return m_items.empty(); }
     const std::vector<Finding> &items() const { return m_items; }
 
-    /// Returns all findings, one a line.
+    /// Returns all findings, one per line.
     std::string text() const
     {
         std::string result;
--- a/include/oleanderhall/core/ids.h
+++ b/include/oleanderhall/core/ids.h
@@ -5,26 +5,27 @@
 
 namespace oleanderhall {
 
-/// Names a host of the operators' register.
+/// Identifies a host of the operators' register.
 using HostId = StrongId<struct HostTag>;
-/// Names a pool of hosts.
+/// Identifies a pool of hosts.
 using PoolId = StrongId<struct PoolTag>;
-/// Names a service, the first segment of a caller's path.
+/// Identifies a service, the first segment of a caller's path.
 using ServiceId = StrongId<struct ServiceTag>;
-/// Names an availability zone.
+/// Identifies an availability zone.
 using ZoneId = StrongId<struct ZoneTag>;
-/// Names a rack, a failure domain inside an availability zone.
+/// Identifies a rack, a failure domain within an availability zone.
 using RackId = StrongId<struct RackTag>;
-/// Names a maintenance wave.
+/// Identifies a maintenance wave.
 using WaveId = StrongId<struct WaveTag>;
-/// Names an entry host.
+/// Identifies an entry host.
 using EntryId = StrongId<struct EntryTag>;
 
-/// The place of an entry in the change log. It only grows.
+/// The position of an entry in the change log. It only increases.
 using Sequence = StrongNumber<struct SequenceTag>;
-/// The version of the accepted configuration. It only grows.
+/// The version of the accepted configuration. It only increases.
 using ConfigVersion = StrongNumber<struct ConfigVersionTag>;
-/// Counts the lives of a host. A worker refuses a command that carries a lower epoch.
+/// A number that increases whenever a host joins or is rebooted. A worker rejects commands with a
+/// lower epoch than one that it has accepted.
 using Epoch = StrongNumber<struct EpochTag>;
 
 } // namespace oleanderhall
--- a/include/oleanderhall/core/jsoncursor.h
+++ b/include/oleanderhall/core/jsoncursor.h
@@ -11,13 +11,15 @@
 
 namespace oleanderhall {
 
-/// A JsonCursor reads one JSON value and records a Finding with its JSON pointer for every member
-/// that is missing, of the wrong type, out of range or unknown. Reading always goes on with a
-/// harmless value, so one pass reports all findings.
+/// A JsonCursor reads the members of one JSON object. It records a Finding with a JSON pointer for
+/// every member that is missing, of the wrong type, out of range or unknown. After a finding it
+/// returns a default value, so that one pass reports all findings.
 class JsonCursor
 {
 public:
-    JsonCursor(const web::json::value &value, std::string file, std::string place,
+    /// Creates a cursor for `value` at the JSON pointer `location` of `file`. Records a finding if
+    /// `value` is not an object. `value` and `findings` must outlive the cursor.
+    JsonCursor(const web::json::value &value, std::string file, std::string location,
                FindingList &findings);
 
     /// Returns the required, non-empty string member `key`, at most `kMaxNameLength` bytes long.
@@ -31,16 +33,16 @@
     /// Returns the optional integer member `key`, or `fallback`.
     std::int64_t numberOr(std::string_view key, std::int64_t low, std::int64_t high,
                           std::int64_t fallback) const;
-    /// Calls `visit` with a cursor for each element of the array member `key`. The member may be
-    /// missing only when `required` is false.
+    /// Calls `visit` with a cursor for each element of the array member `key`. If the member is
+    /// missing, records a finding only if it is `required`.
     void forEach(std::string_view key, bool required,
                  const std::function<void(const JsonCursor &)> &visit) const;
-    /// Calls `visit` with a cursor for the object member `key` when there is one.
+    /// Calls `visit` with a cursor for the object member `key` if the member exists.
     void ifPresent(std::string_view key,
                    const std::function<void(const JsonCursor &)> &visit) const;
-    /// Records a finding for every member that is not named in `known` or stands twice.
+    /// Records a finding for every member that is not in `known` or that occurs more than once.
     void allowOnly(std::initializer_list<std::string_view> known) const;
-    /// Records a finding at the member `key` of this value.
+    /// Records a finding at the member `key`, or at this value if `key` is empty.
     void report(std::string_view key, std::string problem, std::string expected) const;
 
     const web::json::value &value() const { return m_value; }
@@ -57,7 +59,7 @@
     FindingList &m_findings;
 };
 
-/// Parses `text` as JSON. Throws InvalidDocument, naming `file`, when it is not JSON.
+/// Parses `text` as JSON. Throws InvalidDocument with a finding in `file` if it is not JSON.
 web::json::value parseJson(const std::string &text, const std::string &file);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/core/strongid.h
+++ b/include/oleanderhall/core/strongid.h
@@ -7,13 +7,13 @@
 
 namespace oleanderhall {
 
-/// Returns the one shared copy of `name`. Internal to StrongId: names are kept for the life of the
-/// process, so only names from an accepted register or from settings may be passed.
+/// Returns the shared copy of `name`. Internal to StrongId. Names are never freed, so only names
+/// from an accepted register or from settings may be passed.
 const std::string *internName(std::string_view name);
 
-/// A StrongId names one thing of the kind `Tag`, so that a host's name can't be passed for a
-/// pool's. It is one pointer wide; ids compare equal by address and are ordered by their text.
-/// Never build one from a caller's input: look the text up instead.
+/// A StrongId is a name of the kind `Tag`, so that a host's id can't be passed as a pool's id. It
+/// has the size of a pointer. Ids are compared for equality by address and ordered by name. Never
+/// create one from a caller's input, as names are never freed; look the name up instead.
 template <typename Tag>
 class StrongId
 {
--- a/include/oleanderhall/core/time.h
+++ b/include/oleanderhall/core/time.h
@@ -4,9 +4,9 @@
 
 namespace oleanderhall {
 
-/// A point on the monotonic clock of one process. It is never compared between processes.
+/// A time on the monotonic clock of this process. Times of different processes are not comparable.
 using Instant = std::chrono::steady_clock::time_point;
-/// A span of time in whole milliseconds.
+/// A duration in whole milliseconds.
 using Millis = std::chrono::milliseconds;
 
 } // namespace oleanderhall
--- a/src/core/jsoncursor.cpp
+++ b/src/core/jsoncursor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string pointerTo(const std::string &place, std::string_view key)
+std::string pointerTo(const std::string &location, std::string_view key)
 {
     std::string escaped;
     for (const char character : key) {
@@ -20,16 +20,16 @@
         else
             escaped += character;
     }
-    return place + "/" + escaped;
+    return location + "/" + escaped;
 }
 
 } // namespace
 
-JsonCursor::JsonCursor(const web::json::value &value, std::string file, std::string place,
+JsonCursor::JsonCursor(const web::json::value &value, std::string file, std::string location,
                        FindingList &findings)
     : m_value(value)
     , m_file(std::move(file))
-    , m_location(std::move(place))
+    , m_location(std::move(location))
     , m_findings(findings)
 {
     if (!m_value.is_object())
@@ -56,7 +56,7 @@
         return {};
     if (found->is_string() && !found->as_string().empty() && found->as_string().size() <= longest)
         return found->as_string();
-    report(key, "is not a usable text", "a string of 1 to " + std::to_string(longest) + " bytes");
+    report(key, "is not a valid string", "a string of 1 to " + std::to_string(longest) + " bytes");
     return {};
 }
 
@@ -102,8 +102,8 @@
     }
     std::size_t index = 0;
     for (const web::json::value &element : found->as_array()) {
-        const std::string place = pointerTo(m_location, key) + "/" + std::to_string(index++);
-        visit(JsonCursor(element, m_file, place, m_findings));
+        const std::string location = pointerTo(m_location, key) + "/" + std::to_string(index++);
+        visit(JsonCursor(element, m_file, location, m_findings));
     }
 }
 
@@ -122,16 +122,16 @@
     std::set<std::string_view> seen;
     for (const auto &[key, unused] : m_value.as_object()) {
         if (std::find(known.begin(), known.end(), key) == known.end())
-            report(key, "is not known", "a member that the schema names");
+            report(key, "is not known", "a member defined by the schema");
         if (!seen.insert(key).second)
-            report(key, "stands twice", "each member once");
+            report(key, "is duplicated", "each member once");
     }
 }
 
 void JsonCursor::report(std::string_view key, std::string problem, std::string expected) const
 {
-    const std::string place = key.empty() ? m_location : pointerTo(m_location, key);
-    m_findings.add({m_file, place, std::move(problem), std::move(expected)});
+    const std::string location = key.empty() ? m_location : pointerTo(m_location, key);
+    m_findings.add({m_file, location, std::move(problem), std::move(expected)});
 }
 
 web::json::value parseJson(const std::string &text, const std::string &file)
