--- a/include/oleanderhall/membership/memberrow.h
+++ b/include/oleanderhall/membership/memberrow.h
@@ -7,24 +7,24 @@
 
 namespace oleanderhall {
 
-/// A MemberRow is what an entry host writes to the platform's table as its heartbeat.
+/// A MemberRow is the row that an entry host writes to the platform's table as its heartbeat.
 struct MemberRow
 {
     EntryId id;
     ZoneId zone;
-    std::string peerAddress; ///< IP number and port of its side for other entry hosts.
-    std::string incarnation; ///< Differs after each start.
-    std::uint64_t heartbeatCount = 0; ///< Grows with each heartbeat.
-    Sequence acknowledged; ///< It dispatches only by views at least this new.
-    ConfigVersion config; ///< The configuration in force on it.
-    bool leaving = false; ///< It is in a planned stop.
+    std::string peerAddress; ///< IP address and port for connections of other entry hosts.
+    std::string incarnation; ///< Unique to each start of the process.
+    std::uint64_t heartbeatCount = 0; ///< Increases with each heartbeat.
+    Sequence acknowledged; ///< It dispatches only with views of at least this sequence.
+    ConfigVersion config; ///< The configuration that it currently uses.
+    bool leaving = false; ///< It is stopping as planned.
 
     friend bool operator==(const MemberRow &, const MemberRow &) = default;
 };
 
-/// Returns the row as stored in the table.
+/// Returns `row` encoded as JSON for the table.
 std::string encodeMember(const MemberRow &row);
-/// Parses what encodeMember() wrote. Throws InvalidDocument.
+/// Decodes what encodeMember() returned. Throws InvalidDocument if `text` is invalid.
 MemberRow parseMember(const std::string &text);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/placement/instanceplacer.h
+++ b/include/oleanderhall/placement/instanceplacer.h
@@ -12,14 +12,15 @@
     HostId host;
     ZoneId zone;
     RackId rack;
-    int instances = 0; ///< Instances of any service that it holds.
-    int startFailures = 0; ///< Instances that failed to start on it.
-    bool holdsService = false;
+    int instances = 0; ///< Instances of all services on it.
+    int startFailures = 0; ///< Failed starts of instances on it.
+    bool holdsService = false; ///< It already runs an instance of the service.
 };
 
-/// Chooses `wanted` hosts for new instances of one service, spread first over zones, then over
-/// racks. Hosts on which starts failed come last. Hosts that already hold the service count for the
-/// spread and are never chosen. Returns fewer when there are not enough candidates.
+/// Returns `wanted` hosts for new instances of one service, or fewer if there are not enough
+/// candidates. Hosts with fewer failed starts are preferred; among those, instances are spread
+/// first over zones, then over racks. Hosts that already hold the service count towards the spread
+/// and are never chosen.
 std::vector<HostId> chooseInstanceHosts(const std::vector<PlacementCandidate> &candidates,
                                         int wanted);
 
--- a/src/membership/memberrow.cpp
+++ b/src/membership/memberrow.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::int64_t kLargest = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxCount = std::numeric_limits<std::int64_t>::max();
 
-std::uint64_t count(const JsonCursor &cursor, std::string_view key)
+std::uint64_t parseCount(const JsonCursor &cursor, std::string_view key)
 {
-    return static_cast<std::uint64_t>(cursor.number(key, 0, kLargest));
+    return static_cast<std::uint64_t>(cursor.number(key, 0, kMaxCount));
 }
 
 } // namespace
@@ -45,9 +45,9 @@
         .zone = ZoneId(cursor.text("zone")),
         .peerAddress = cursor.text("peer"),
         .incarnation = cursor.text("incarnation"),
-        .heartbeatCount = count(cursor, "beat"),
-        .acknowledged = {count(cursor, "acknowledged")},
-        .config = {count(cursor, "config")},
+        .heartbeatCount = parseCount(cursor, "beat"),
+        .acknowledged = {parseCount(cursor, "acknowledged")},
+        .config = {parseCount(cursor, "config")},
         .leaving = cursor.number("leaving", 0, 1) == 1,
     };
     if (!findings.empty())
--- a/src/membership/membertable.cpp
+++ b/src/membership/membertable.cpp
@@ -63,8 +63,8 @@
 
 bool MemberTable::hasExpired(const Member &member, Instant now) const
 {
-    const Millis lapse = m_base + m_perMember * m_members.size();
-    return now - member.changed >= lapse;
+    const Millis expiryTime = m_base + m_perMember * m_members.size();
+    return now - member.changed >= expiryTime;
 }
 
 } // namespace oleanderhall
--- a/src/placement/instanceplacer.cpp
+++ b/src/placement/instanceplacer.cpp
@@ -11,13 +11,13 @@
 {
     std::map<ZoneId, int> perZone;
     std::map<RackId, int> perRack;
-    std::vector<const PlacementCandidate *> open;
+    std::vector<const PlacementCandidate *> eligible;
     for (const PlacementCandidate &candidate : candidates) {
         if (candidate.holdsService) {
             ++perZone[candidate.zone];
             ++perRack[candidate.rack];
         } else {
-            open.push_back(&candidate);
+            eligible.push_back(&candidate);
         }
     }
     const auto cost = [&](const PlacementCandidate *candidate) {
@@ -25,14 +25,14 @@
                                perRack[candidate->rack], candidate->instances, candidate->host);
     };
     std::vector<HostId> chosen;
-    while (static_cast<int>(chosen.size()) < wanted && !open.empty()) {
+    while (static_cast<int>(chosen.size()) < wanted && !eligible.empty()) {
         const auto best = std::min_element(
-            open.begin(), open.end(),
+            eligible.begin(), eligible.end(),
             [&cost](const auto *left, const auto *right) { return cost(left) < cost(right); });
         ++perZone[(*best)->zone];
         ++perRack[(*best)->rack];
         chosen.push_back((*best)->host);
-        open.erase(best);
+        eligible.erase(best);
     }
     return chosen;
 }
--- a/tests/membership/membertable_test.cpp
+++ b/tests/membership/membertable_test.cpp
@@ -18,20 +18,20 @@
     Instant now{std::chrono::hours(1)};
     MemberTable table{Millis(5000), Millis(0)};
 
-    static MemberRow row(const std::string &id, std::uint64_t beat)
+    static MemberRow row(const std::string &id, std::uint64_t heartbeatCount)
     {
         return {.id = EntryId(id),
                 .zone = ZoneId("z"),
                 .peerAddress = "127.0.0.1:1",
                 .incarnation = "1",
-                .heartbeatCount = beat};
+                .heartbeatCount = heartbeatCount};
     }
 };
 
 } // namespace
 
 TEST_CASE_METHOD(MemberTableTest,
-                 "MemberTable: a row that doesn't change: lapses after the lapse time")
+                 "MemberTable: a row that doesn't change: expires after the expiry time")
 {
     table.update({row("a", 1), row("b", 1)}, {1}, now);
     now += Millis(4999);
