--- a/include/oleanderhall/jobs/jobprogress.h
+++ b/include/oleanderhall/jobs/jobprogress.h
@@ -18,8 +18,7 @@
     int index = 0;
     bool isDone = false;
     int failures = 0;
-    std::vector<std::int64_t>
-        endedRuns; ///< Numbers of the runs whose end is recorded, in any order.
+    std::vector<std::int64_t> endedRuns; ///< Runs whose end is recorded, in any order.
     std::string checkpoint;
 
     friend bool operator==(const TaskProgress &, const TaskProgress &) = default;
--- a/include/oleanderhall/jobs/stepspec.h
+++ b/include/oleanderhall/jobs/stepspec.h
@@ -18,13 +18,13 @@
     bool savesProgress = false; ///< Tasks write checkpoints and resume from the last one.
     bool isGang = false; ///< Tasks make progress only while all of them run.
     bool needsOneRack = false; ///< Tasks are slower when they run on more than one rack.
-    bool allowsSpeculation = false; ///< Two copies of a task may run in parallel.
+    bool allowsSpeculation = false; ///< Copies of a task may run in parallel.
     bool isLongRunning = false; ///< Tasks run until the job is cancelled.
     bool usesIdleCores = false; ///< Tasks use only cores that other tasks leave idle.
     std::string requiredLabel; ///< A label that the worker must have; empty if any worker will do.
     std::string dataRack; ///< The rack that stores the input data; empty for none.
     int maxPerWorker = 0; ///< Limit for tasks of one occurrence; 0 for none.
-    std::string image; ///< The image that the tasks run.
+    std::string image;
     Millis latencyTarget{0}; ///< For the tail latency of a serving task; 0 for none.
     int maxDisrupted = -1; ///< Tasks that maintenance may disrupt at once; -1 for no limit.
 };
--- a/include/oleanderhall/maintenance/hostplanner.h
+++ b/include/oleanderhall/maintenance/hostplanner.h
@@ -59,8 +59,8 @@
     explicit HostPlanner(HostPlannerSettings settings);
 
     void setPools(const std::vector<PoolConfig> &pools);
-    /// Replaces the known hosts by a complete list from the platform. A host keeps
-    /// its state while a command, move or maintenance is in progress, as the list may predate it.
+    /// Replaces the known hosts by a complete list from the platform. A host keeps its
+    /// state while a command, move or maintenance is in progress, as the list may predate it.
     void updateHosts(const std::vector<HostInfo> &hosts, Instant now);
     /// Plans no commands to `host` before `until`. A new owner calls it for hosts to which an
     /// earlier owner may just have sent a command.
--- a/include/oleanderhall/membership/memberrow.h
+++ b/include/oleanderhall/membership/memberrow.h
@@ -13,7 +13,7 @@
     EntryId id;
     ZoneId zone;
     std::string peerAddress; ///< IP address and port for connections of other entry hosts.
-    std::string incarnation; ///< Unique to each start of the process.
+    std::string incarnation; ///< Differs after each start of the process.
     std::uint64_t heartbeatCount = 0; ///< Increases with each heartbeat.
     Sequence acknowledged; ///< It dispatches only with views of at least this sequence.
     ConfigVersion config; ///< The configuration that it currently uses.
--- a/include/oleanderhall/ownership/ownership.h
+++ b/include/oleanderhall/ownership/ownership.h
@@ -32,15 +32,16 @@
     Millis margin{250};
     Millis renewInterval{500};
     /// The owner extends leases of running tasks until this long after its last renewal. Together
-    /// with the workers' lease this bounds how long tasks continue during an outage of the table,
+    /// with the workers' lease this bounds how long an outage of the table running tasks survive,
     /// and how long a new owner waits for workers that it can't reach.
     Millis leaseExtensionTime{3500};
     Millis retryDelay{150}; ///< The delay after a failed renewal or take-over.
     Millis jitter{0}; ///< Added to `lease` before a take-over, so that processes don't collide.
     double processorShare = 1; ///< This process's processor time in cores.
     /// The extra wait before a take-over by a process that has less processor time than the last
-    /// owner. It is well above the jitter, so that processes with enough processor time take over
-    /// first; an owner that can't keep up costs the fleet more than this delay.
+    /// owner. It is well above the jitter, so that processes with as much processor time as the
+    /// last owner take over first; an owner that can't keep up costs the fleet more than this
+    /// delay.
     Millis belowOwnerDelay{1500};
     /// The extra wait of a process below kSufficientShare when the last owner was below it, too. It
     /// equals the longest jitter.
