--- a/include/oleanderhall/jobs/fleetconfig.h
+++ b/include/oleanderhall/jobs/fleetconfig.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "oleanderhall/jobs/queuerule.h"
+#include "oleanderhall/jobs/queueconfig.h"
 
 #include <optional>
 #include <string_view>
@@ -8,27 +8,26 @@
 
 namespace oleanderhall {
 
-/// One pool of workers of the configuration.
+/// The configuration of one pool of workers.
 struct PoolConfig
 {
     ServiceId service;
-    bool rejectsOverload = false; ///< Its workers turn away what does not fit.
-    bool isSpare = false; ///< Its hosts are off and cost nothing.
+    bool rejectsOverload = false; ///< Its workers reject tasks that exceed their free capacity.
+    bool isSpare = false; ///< Its hosts are off and cause no cost.
 };
 
-/// The operators' configuration in force.
+/// The operators' configuration that is currently in force.
 struct FleetConfig
 {
     ConfigVersion version;
-    std::vector<QueueRule> queues;
+    std::vector<QueueConfig> queues;
     std::vector<PoolConfig> pools;
 
-    /// Returns the queue whose host matches and whose prefix is the longest that `path` begins
-    /// with, or nothing.
-    const QueueRule *find(std::string_view host, std::string_view path) const
+    /// Returns the queue of `host` with the longest prefix that `path` starts with, or nullptr.
+    const QueueConfig *find(std::string_view host, std::string_view path) const
     {
-        const QueueRule *best = nullptr;
-        for (const QueueRule &queue : queues) {
+        const QueueConfig *best = nullptr;
+        for (const QueueConfig &queue : queues) {
             if (queue.host == host && path.substr(0, queue.prefix.size()) == queue.prefix
                 && (!best || queue.prefix.size() > best->prefix.size()))
                 best = &queue;
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -39,7 +39,7 @@
 
     /// Sets the configuration of the queues unless a later version is known. Jobs of a removed
     /// queue keep the configuration they were accepted with.
-    void setQueues(ConfigVersion version, const std::vector<QueueRule> &queues);
+    void setQueues(ConfigVersion version, const std::vector<QueueConfig> &queues);
     /// Sets the complete list of workers from service discovery.
     void setWorkers(const std::vector<WorkerInfo> &workers, Instant now);
     /// Adds a stored job that was accepted at `accepted`, with its recorded progress. An inherited
@@ -181,7 +181,7 @@
     std::int64_t m_generation;
     Instant m_termStart;
     ConfigVersion m_version;
-    std::map<std::string, QueueRule> m_queues;
+    std::map<std::string, QueueConfig> m_queues;
     std::map<WorkerId, WorkerState> m_workers;
     std::map<JobId, TrackedJob> m_jobs;
     std::set<JobId> m_active; ///< Jobs that have not ended.
--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -72,7 +72,7 @@
     for (std::size_t index = 0; index < findings.items().size(); ++index) {
         const Finding &finding = findings.items()[index];
         web::json::value entry = web::json::value::object();
-        entry["place"] = web::json::value(finding.place);
+        entry["place"] = web::json::value(finding.location);
         entry["problem"] = web::json::value(finding.problem);
         entry["expected"] = web::json::value(finding.expected);
         list[index] = entry;
@@ -109,9 +109,10 @@
 
 asio::awaitable<Reply> CallerApi::answer(HttpRequest &request)
 {
-    const Instant received = bootNow();
+    const Instant received = monotonicNow();
     Reply reply = co_await route(request);
-    m_metrics.countAnswer(reply.status, std::chrono::duration_cast<Millis>(bootNow() - received));
+    m_metrics.countAnswer(reply.status,
+                          std::chrono::duration_cast<Millis>(monotonicNow() - received));
     co_return reply;
 }
 
@@ -122,11 +123,11 @@
     const std::string path(request.target().substr(0, request.target().find('?')));
     const auto host = request[boost::beast::http::field::host];
     const std::string_view hostName(host.data(), host.size());
-    const QueueRule *queue = m_view.config->find(hostName, path);
+    const QueueConfig *queue = m_view.config->find(hostName, path);
     if (!queue)
         co_return refuse(kNotFound, "no_such_queue", std::nullopt);
     Target target{*queue, m_view.config->version, path.substr(queue->prefix.size()),
-                  answerDeadline(request, bootNow())};
+                  answerDeadline(request, monotonicNow())};
     const auto method = request.method();
     if (target.jobId.empty()) {
         if (method == boost::beast::http::verb::get)
@@ -149,7 +150,7 @@
 
 Reply CallerApi::waitingCount(const Target &target)
 {
-    if (bootNow() - m_view.report.receivedAt > kMaxReportAge)
+    if (monotonicNow() - m_view.report.receivedAt > kMaxReportAge)
         return refuse(kUnavailable, "count_unknown", kRetryAfter);
     const auto found = m_view.report.waitingJobs.find(target.queue.name);
     return jsonReply(
@@ -189,11 +190,11 @@
                         .headers = {{"Content-Type", "application/json"}},
                         .body = findingsBody(findings)};
     }
-    if (!m_view.isTableReachable(bootNow())) {
+    if (!m_view.isTableReachable(monotonicNow())) {
         logInfo("job_refused", {{"job", textOf(id)}, {"reason", "table_unreachable"}});
         co_return refuse(kUnavailable, "table_unreachable", kRetryAfter);
     }
-    job.acceptedMs = m_view.tableTime(bootNow());
+    job.acceptedMs = m_view.tableTime(monotonicNow());
     // Without waiting jobs this one may start at once; otherwise the owner releases it in its turn.
     const auto waiting = m_view.report.waitingJobs.find(target.queue.name);
     job.isReleased = waiting == m_view.report.waitingJobs.end() || waiting->second == 0;
@@ -204,7 +205,7 @@
         });
     constexpr Millis kSlack{500}; // the writer itself answers at the deadline
     const std::optional<Stored> stored = co_await shot->wait(
-        std::chrono::steady_clock::now() + (target.deadline - bootNow()) + kSlack);
+        std::chrono::steady_clock::now() + (target.deadline - monotonicNow()) + kSlack);
     const StoreOutcome outcome = stored ? stored->outcome : StoreOutcome::Unknown;
     if (outcome == StoreOutcome::Stored || outcome == StoreOutcome::AlreadyStored) {
         const bool isNew = outcome == StoreOutcome::Stored;
@@ -225,7 +226,7 @@
     if (mayBeStored)
         co_return refuse(kOutcomeUnknown, "outcome_unknown", std::nullopt);
     const Millis expected = m_writers[static_cast<std::size_t>(jobPartition(id))]->expectedDelay(
-        bootNow());
+        monotonicNow());
     co_return refuse(kUnavailable, "table_refused", std::max(kRetryAfter, expected));
 }
 
--- a/src/node/callerapi.h
+++ b/src/node/callerapi.h
@@ -31,7 +31,7 @@
     boost::asio::awaitable<Reply> route(HttpRequest &request);
     struct Target
     {
-        QueueRule queue;
+        QueueConfig queue;
         ConfigVersion config;
         std::string jobId; ///< The path behind the queue's prefix; empty for the queue itself.
         Instant deadline; ///< Of the answer; leaves a reserve within the caller's time limit.
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -75,7 +75,7 @@
         , m_signals(m_io, SIGTERM, SIGINT, SIGHUP)
         , m_table(m_io, settings.tableAddress, m_metrics)
         , m_api(m_io, m_table, m_view, m_metrics)
-        , m_ownership(settings.id.name(), ownershipSettings(), bootNow())
+        , m_ownership(settings.id.name(), ownershipSettings(), monotonicNow())
         , m_ownershipTimer(m_io)
         , m_shutdownTimer(m_io)
     {}
@@ -109,7 +109,7 @@
 
     bool isReady() const
     {
-        return m_view.config && m_view.isTableReachable(bootNow()) && !m_isShuttingDown;
+        return m_view.config && m_view.isTableReachable(monotonicNow()) && !m_isShuttingDown;
     }
 
     void serveCallers()
@@ -185,7 +185,7 @@
     {
         recordContact(update);
         TermRecord term = m_ownership.term();
-        std::uint64_t heartbeat = m_ownership.beatVersion();
+        std::uint64_t heartbeat = m_ownership.heartbeatVersion();
         for (const platform::TableRow &row : update.rows) {
             if (row.key == kTermKey && row.version >= term.version)
                 term = decodeTerm(row);
@@ -197,7 +197,7 @@
                 applyMaintainedHosts(m_view, row);
         }
         const bool wasOwner = m_ownership.isOwner();
-        m_ownership.seen(term, heartbeat, bootNow());
+        m_ownership.recordsRead(term, heartbeat, monotonicNow());
         if (wasOwner && !m_ownership.isOwner())
             endTerm();
     }
@@ -213,12 +213,12 @@
 
     void checkOwnership()
     {
-        const Instant now = bootNow();
+        const Instant now = monotonicNow();
         if (m_owner && (m_owner->isSuperseded() || !m_ownership.isOwner())) {
             m_ownership.renewAnswered(false, true, 0, now, now);
             endTerm();
         }
-        switch (m_ownership.next(now)) {
+        switch (m_ownership.nextStep(now)) {
         case Ownership::Step::TakeOver:
             takeOver();
             break;
@@ -240,7 +240,8 @@
         const TermRecord term = m_ownership.term();
         platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, term.version});
-        transaction.expected.push_back({kControlTable, kHeartbeatKey, m_ownership.beatVersion()});
+        transaction.expected.push_back(
+            {kControlTable, kHeartbeatKey, m_ownership.heartbeatVersion()});
         transaction.writes.push_back({kControlTable, kTermKey,
                                       encodeTerm({.owner = m_settings.id.name(),
                                                   .generation = term.generation + 1,
@@ -249,7 +250,8 @@
         m_table.transact(
             transaction, kTakeOverTimeout, [this](const platform::TransactionResult &response) {
                 const bool isDone = response.outcome == platform::TransactionResult::Outcome::Done;
-                m_ownership.takeOverAnswered(isDone, response.version, response.sent, bootNow());
+                m_ownership.takeOverAnswered(isDone, response.version, response.sent,
+                                             monotonicNow());
                 if (!isDone || m_isShuttingDown)
                     return;
                 m_metrics.count("ownership_taken_total");
@@ -276,15 +278,15 @@
         platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
         transaction.writes.push_back({kControlTable, kHeartbeatKey, encodeReport()});
-        m_table.transact(transaction, kControlTimeout,
-                         [this](const platform::TransactionResult &response) {
-                             using Outcome = platform::TransactionResult::Outcome;
-                             m_ownership.renewAnswered(response.outcome == Outcome::Done,
-                                                       response.outcome == Outcome::Conflict,
-                                                       response.version, response.sent, bootNow());
-                             if (!m_ownership.isOwner())
-                                 endTerm();
-                         });
+        m_table.transact(
+            transaction, kControlTimeout, [this](const platform::TransactionResult &response) {
+                using Outcome = platform::TransactionResult::Outcome;
+                m_ownership.renewAnswered(response.outcome == Outcome::Done,
+                                          response.outcome == Outcome::Conflict, response.version,
+                                          response.sent, monotonicNow());
+                if (!m_ownership.isOwner())
+                    endTerm();
+            });
     }
 
     void endTerm()
@@ -320,7 +322,7 @@
         m_shutdownTimer.async_wait([this](const boost::system::error_code &) {
             m_callerServer->drain();
             m_callerServer->stop();
-            m_shutdownDeadline = bootNow() + m_settings.shutdownTimeout - kUnreadyNotice
+            m_shutdownDeadline = monotonicNow() + m_settings.shutdownTimeout - kUnreadyNotice
                 - kShutdownReserve;
             finishShutdown();
         });
@@ -334,7 +336,7 @@
         if (!wasOwner)
             return;
         endTerm();
-        m_ownership.renewAnswered(false, true, 0, bootNow(), bootNow());
+        m_ownership.renewAnswered(false, true, 0, monotonicNow(), monotonicNow());
         platform::Transaction transaction{.part = kControlPartition};
         transaction.expected.push_back({kControlTable, kTermKey, term.version});
         transaction.writes.push_back(
@@ -351,7 +353,7 @@
 
     void finishShutdown()
     {
-        if (m_callerServer->busy() == 0 || bootNow() >= m_shutdownDeadline) {
+        if (m_callerServer->busy() == 0 || monotonicNow() >= m_shutdownDeadline) {
             m_io.stop();
             return;
         }
--- a/src/node/fleetowner.cpp
+++ b/src/node/fleetowner.cpp
@@ -41,7 +41,7 @@
     , m_view(view)
     , m_metrics(metrics)
     , m_term(ownership.term())
-    , m_scheduler(schedulerSettings(settings), m_term.generation - 1, bootNow())
+    , m_scheduler(schedulerSettings(settings), m_term.generation - 1, monotonicNow())
     , m_workerClient(io, metrics, m_term.version)
     , m_stepTimer(io)
     , m_workerListTimer(io)
@@ -120,12 +120,12 @@
 void FleetOwner::step()
 {
     m_isStepScheduled = false;
-    const Instant now = bootNow();
-    if (m_isLoaded && m_areWorkersListed && m_ownership.mayExtend(now)) {
-        if (m_hostController && m_ownership.mayAct(now))
+    const Instant now = monotonicNow();
+    if (m_isLoaded && m_areWorkersListed && m_ownership.mayExtendLeases(now)) {
+        if (m_hostController && m_ownership.maySendCommands(now))
             m_hostController->step(now);
-        std::vector<SchedulerAction> actions = m_scheduler.tick(now, wallMs(),
-                                                                m_ownership.mayAct(now));
+        std::vector<SchedulerAction> actions = m_scheduler.tick(now, wallClockMs(),
+                                                                m_ownership.maySendCommands(now));
         dispatch(actions);
         logDecisions();
     }
@@ -164,7 +164,7 @@
             if (!self || self->m_isStopped)
                 return;
             self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
-            self->m_scheduler.onStartResult(command, result, bootNow());
+            self->m_scheduler.onStartResult(command, result, monotonicNow());
             self->scheduleStep();
         });
 }
@@ -177,7 +177,7 @@
             if (!self || self->m_isStopped)
                 return;
             self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
-            self->m_scheduler.onStopResult(command, result, bootNow());
+            self->m_scheduler.onStopResult(command, result, monotonicNow());
             self->scheduleStep();
         });
 }
@@ -189,7 +189,7 @@
                             const auto self = weak.lock();
                             if (!self || self->m_isStopped)
                                 return;
-                            self->m_scheduler.onCpuLimitResult(command, result, bootNow());
+                            self->m_scheduler.onCpuLimitResult(command, result, monotonicNow());
                             self->scheduleStep();
                         });
 }
@@ -204,7 +204,7 @@
             if (!self || self->m_isStopped)
                 return;
             self->m_isSuperseded = self->m_isSuperseded || result == CallResult::Fenced;
-            self->m_scheduler.onPollResult(request, result, status, sentAt, bootNow());
+            self->m_scheduler.onPollResult(request, result, status, sentAt, monotonicNow());
             self->scheduleStep();
         });
 }
@@ -221,7 +221,8 @@
                                 return;
                             self->m_scheduler.onAdviceResult(
                                 request, tickets.has_value(),
-                                tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
+                                tickets.value_or(platform::AdviceClient::Tickets{}),
+                                monotonicNow());
                             self->scheduleStep();
                         });
 }
@@ -274,7 +275,8 @@
                 self->onBatchWritten(partition, updates, result);
                 if (--self->m_writesInFlight > 0)
                     return;
-                self->m_scheduler.onProgressWritten(number, self->m_haveWritesSucceeded, bootNow());
+                self->m_scheduler.onProgressWritten(number, self->m_haveWritesSucceeded,
+                                                    monotonicNow());
                 self->scheduleStep();
             });
     }
--- a/src/node/fleetownerloading.cpp
+++ b/src/node/fleetownerloading.cpp
@@ -122,7 +122,7 @@
 
 void FleetOwner::applyJobs(const TableWatcher::Update &update)
 {
-    const Instant now = bootNow();
+    const Instant now = monotonicNow();
     std::vector<JobId> cancelled;
     const bool isFirst = update.isSnapshot && !m_isLoaded;
     for (const platform::TableRow &row : update.rows) {
@@ -194,7 +194,7 @@
                        {{"key", row.key}, {"reason", decodeError.what()}});
         }
     }
-    m_scheduler.setWorkers(workers, bootNow());
+    m_scheduler.setWorkers(workers, monotonicNow());
     m_areWorkersListed = true;
     scheduleStep();
 }
--- a/src/node/hostcontroller.cpp
+++ b/src/node/hostcontroller.cpp
@@ -24,22 +24,22 @@
 constexpr Millis kCommandPauseMargin{200};
 constexpr const char *kHostCommandsKey = "host-orders";
 
-const char *nameOf(HostOrderResult result)
+const char *nameOf(HostCommandResult result)
 {
     switch (result) {
-    case HostOrderResult::Done:
+    case HostCommandResult::Done:
         return "done";
-    case HostOrderResult::Busy:
+    case HostCommandResult::Busy:
         return "busy";
-    case HostOrderResult::NotOfWave:
+    case HostCommandResult::NotOfWave:
         return "not_of_wave";
-    case HostOrderResult::Fenced:
+    case HostCommandResult::Fenced:
         return "fenced";
-    case HostOrderResult::Invalid:
+    case HostCommandResult::Invalid:
         return "invalid";
-    case HostOrderResult::Refused:
+    case HostCommandResult::Refused:
         return "refused";
-    case HostOrderResult::Unknown:
+    case HostCommandResult::Unknown:
         return "outcome_unknown";
     }
     return "unnamed";
@@ -107,7 +107,7 @@
 
 void HostController::applyRecordedCommands(const platform::ReadResult &result)
 {
-    const Instant now = bootNow();
+    const Instant now = monotonicNow();
     m_areRecordedCommandsRead = true;
     for (const platform::TableRow &row : result.rows) {
         try {
@@ -125,7 +125,7 @@
 
 /// Stores host commands before they are sent, so that the next owner knows to which hosts it must
 /// not send commands for a while.
-void HostController::recordAndSend(const std::vector<HostOrder> &commands, Instant now)
+void HostController::recordAndSend(const std::vector<HostCommand> &commands, Instant now)
 {
     if (commands.empty())
         return;
@@ -133,8 +133,8 @@
     std::erase_if(m_commandTimes, [&](const auto &entry) {
         return entry.second + 2 * m_settings.hostCommandPause.count() < time;
     });
-    std::vector<std::pair<HostOrder, WorkerId>> pending;
-    for (const HostOrder &command : commands) {
+    std::vector<std::pair<HostCommand, WorkerId>> pending;
+    for (const HostCommand &command : commands) {
         const WorkerId worker = m_workerOfHost[command.host];
         m_commandTimes[command.host] = time;
         m_scheduler.setTerminating(worker, true);
@@ -146,21 +146,21 @@
     platform::Transaction transaction{.part = kControlPartition};
     transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
     transaction.writes.push_back({kControlTable, kHostCommandsKey, record.serialize()});
-    m_table.transact(transaction, kCommandRecordTimeout,
-                     [weak = weak_from_this(), pending](const platform::TransactionResult &result) {
-                         const auto self = weak.lock();
-                         if (!self || self->m_isStopped)
-                             return;
-                         const bool maySend = result.outcome
-                                 == platform::TransactionResult::Outcome::Done
-                             && self->m_ownership.mayAct(bootNow());
-                         for (const auto &[command, worker] : pending) {
-                             if (maySend)
-                                 self->send(command, worker);
-                             else
-                                 self->onCommandAnswered(command, worker, HostOrderResult::Refused);
-                         }
-                     });
+    m_table.transact(
+        transaction, kCommandRecordTimeout,
+        [weak = weak_from_this(), pending](const platform::TransactionResult &result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            const bool maySend = result.outcome == platform::TransactionResult::Outcome::Done
+                && self->m_ownership.maySendCommands(monotonicNow());
+            for (const auto &[command, worker] : pending) {
+                if (maySend)
+                    self->send(command, worker);
+                else
+                    self->onCommandAnswered(command, worker, HostCommandResult::Refused);
+            }
+        });
 }
 
 void HostController::stop()
@@ -171,13 +171,13 @@
 
 bool HostController::hasPendingChanges() const
 {
-    return m_planner.isWaiting(bootNow());
+    return m_planner.hasPendingChanges(monotonicNow());
 }
 
 void HostController::readHostList()
 {
-    m_client.list([weak = weak_from_this(),
-                   requestedAt = bootNow()](const std::optional<std::vector<HostInfo>> &hosts) {
+    m_client.list([weak = weak_from_this(), requestedAt = monotonicNow()](
+                      const std::optional<std::vector<HostInfo>> &hosts) {
         const auto self = weak.lock();
         if (!self || self->m_isStopped)
             return;
@@ -197,9 +197,9 @@
 
 void HostController::applyHostList(const std::vector<HostInfo> &hosts, Instant requestedAt)
 {
-    const Instant now = bootNow();
-    m_planner.takeHosts(hosts, now);
-    for (const OrderedLives::Verdict &verdict : m_endVerifier.judge(hosts, requestedAt)) {
+    const Instant now = monotonicNow();
+    m_planner.updateHosts(hosts, now);
+    for (const WorkerEndVerifier::Verdict &verdict : m_endVerifier.verify(hosts, requestedAt)) {
         if (verdict.hasEnded) {
             m_scheduler.onWorkerTerminated(verdict.worker, now);
             continue;
@@ -235,16 +235,16 @@
     m_hostStates[host.id] = host.state;
 }
 
-WorkerUse HostController::workerUsage(WorkerId id) const
+WorkerUsage HostController::workerUsage(WorkerId id) const
 {
     const auto found = m_scheduler.workers().find(id);
     if (found == m_scheduler.workers().end())
         return {};
     constexpr double kMilliCoresPerCore = 1000;
     const WorkerState &worker = found->second;
-    WorkerUse usage{.isKnown = worker.isListed && worker.isSynced && !worker.isTerminating,
-                    .isEmpty = worker.runs.empty(),
-                    .mayInterrupt = m_scheduler.mayInterrupt(id)};
+    WorkerUsage usage{.isKnown = worker.isListed && worker.isSynced && !worker.isTerminating,
+                      .isEmpty = worker.runs.empty(),
+                      .mayInterrupt = m_scheduler.mayInterrupt(id)};
     for (const WorkerRun &run : worker.runs) {
         if (!run.isLongRunning)
             usage.batchCores += std::max(
@@ -269,16 +269,16 @@
     const HostPlanner::Plan plan = m_planner.plan(
         m_scheduler.poolDemands(now), [this](WorkerId worker) { return workerUsage(worker); }, now);
     m_scheduler.cordon(plan.cordoned);
-    m_scheduler.setAwaitingMaintenance(plan.dueSoon);
+    m_scheduler.setAwaitingMaintenance(plan.awaitingMaintenance);
     m_scheduler.evacuate(plan.evacuated, now);
-    recordAndSend(plan.orders, now);
+    recordAndSend(plan.commands, now);
     for (const auto &[wave, isCompleted] : plan.waveStates)
         m_unpublishedWaveStates[wave] = isCompleted;
     publishWaveState();
     recordMaintainedHosts(now);
 }
 
-void HostController::send(const HostOrder &command, WorkerId worker)
+void HostController::send(const HostCommand &command, WorkerId worker)
 {
     logInfo("host_ordered",
             {{"host", command.host.name()},
@@ -286,7 +286,7 @@
              {"pool", command.pool.name()},
              {"wave", std::to_string(command.wave)},
              {"reason", command.reason}});
-    const auto done = [weak = weak_from_this(), command, worker](HostOrderResult result) {
+    const auto done = [weak = weak_from_this(), command, worker](HostCommandResult result) {
         const auto self = weak.lock();
         if (self && !self->m_isStopped)
             self->onCommandAnswered(command, worker, result);
@@ -298,16 +298,16 @@
         m_client.maintain(command.host, command.wave, token, done);
 }
 
-void HostController::onCommandAnswered(const HostOrder &command, WorkerId worker,
-                                       HostOrderResult result)
+void HostController::onCommandAnswered(const HostCommand &command, WorkerId worker,
+                                       HostCommandResult result)
 {
-    const Instant now = bootNow();
-    logFields("host_order_answered", result != HostOrderResult::Done,
+    const Instant now = monotonicNow();
+    logFields("host_order_answered", result != HostCommandResult::Done,
               {{"host", command.host.name()}, {"result", nameOf(result)}});
-    m_planner.orderAnswered(command, result, now);
+    m_planner.commandAnswered(command, result, now);
     // The next list of hosts shows whether this command ended the worker.
-    if (result == HostOrderResult::Done)
-        m_endVerifier.orderDone(command.host, worker, now);
+    if (result == HostCommandResult::Done)
+        m_endVerifier.commandDone(command.host, worker, now);
     else
         m_scheduler.setTerminating(worker, false);
 }
--- a/src/node/hostcontroller.h
+++ b/src/node/hostcontroller.h
@@ -7,7 +7,7 @@
 #include "../../platform/tableclient.h"
 
 #include "oleanderhall/maintenance/hostplanner.h"
-#include "oleanderhall/maintenance/orderedlives.h"
+#include "oleanderhall/maintenance/workerendverifier.h"
 #include "oleanderhall/ownership/ownership.h"
 #include "oleanderhall/scheduling/scheduler.h"
 
@@ -42,12 +42,12 @@
     void readHostList();
     void readRecordedCommands();
     void applyRecordedCommands(const platform::ReadResult &result);
-    void recordAndSend(const std::vector<HostOrder> &commands, Instant now);
+    void recordAndSend(const std::vector<HostCommand> &commands, Instant now);
     void applyHostList(const std::vector<HostInfo> &hosts, Instant requestedAt);
-    void send(const HostOrder &command, WorkerId worker);
-    void onCommandAnswered(const HostOrder &command, WorkerId worker, HostOrderResult result);
+    void send(const HostCommand &command, WorkerId worker);
+    void onCommandAnswered(const HostCommand &command, WorkerId worker, HostCommandResult result);
     void updateState(const HostInfo &host);
-    WorkerUse workerUsage(WorkerId worker) const;
+    WorkerUsage workerUsage(WorkerId worker) const;
     void recordMaintainedHosts(Instant now);
     void publishWaveState();
 
@@ -58,7 +58,7 @@
     Scheduler &m_scheduler;
     platform::HostClient m_client;
     HostPlanner m_planner;
-    OrderedLives m_endVerifier;
+    WorkerEndVerifier m_endVerifier;
     std::map<HostId, WorkerId> m_workerOfHost; ///< From the latest list of hosts.
     std::map<HostId, HostInfo::State> m_hostStates;
     boost::asio::steady_timer m_listTimer;
--- a/src/node/jobwriter.cpp
+++ b/src/node/jobwriter.cpp
@@ -35,7 +35,7 @@
 void JobWriter::store(const JobSpec &job, Instant deadline, Done done)
 {
     const auto known = m_jobs.find(job.id);
-    if (known == m_jobs.end() && bootNow() + m_storeTime.expected(bootNow()) > deadline) {
+    if (known == m_jobs.end() && monotonicNow() + m_storeTime.estimate(monotonicNow()) > deadline) {
         done(StoreOutcome::Refused, 0); // would not be confirmed before the deadline
         return;
     }
@@ -79,7 +79,7 @@
 /// last caller.
 void JobWriter::expireCallers()
 {
-    const Instant now = bootNow();
+    const Instant now = monotonicNow();
     std::vector<std::pair<Done, StoreOutcome>> expired;
     for (const auto &[id, pending] : m_jobs) {
         const bool isQueued = std::find(m_queue.begin(), m_queue.end(), pending) != m_queue.end();
@@ -121,7 +121,7 @@
         transaction.writes.push_back({kProgressTable, progressKey, pending->progress});
     }
     m_isInFlight = true;
-    m_storeTime.sent(bootNow());
+    m_storeTime.onSent(monotonicNow());
     m_table.transact(transaction, kStoreTimeout,
                      [this, batch = std::move(batch)](const platform::TransactionResult &result) {
                          onBatchAnswered(batch, result);
@@ -132,7 +132,7 @@
 {
     using Outcome = platform::TransactionResult::Outcome;
     m_isInFlight = false;
-    m_storeTime.ended(bootNow());
+    m_storeTime.onCompleted(monotonicNow());
     std::set<std::string> present;
     if (result.outcome == Outcome::Conflict) {
         for (const platform::TableRow &row : result.rows) {
--- a/src/node/jobwriter.h
+++ b/src/node/jobwriter.h
@@ -4,7 +4,7 @@
 
 #include "oleanderhall/core/time.h"
 #include "oleanderhall/jobs/jobspec.h"
-#include "oleanderhall/jobs/storetime.h"
+#include "oleanderhall/jobs/storetimeestimator.h"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -42,7 +42,7 @@
     void store(const JobSpec &job, Instant deadline, Done done);
 
     /// Returns the estimated time to store a job that arrives now.
-    Millis expectedDelay(Instant now) const { return m_storeTime.expected(now); }
+    Millis expectedDelay(Instant now) const { return m_storeTime.estimate(now); }
 
 private:
     struct WaitingCaller
@@ -74,7 +74,7 @@
     std::map<JobId, PendingJobPtr> m_jobs; ///< Queued or in flight.
     std::deque<PendingJobPtr> m_queue;
     bool m_isInFlight = false;
-    StoreTime m_storeTime;
+    StoreTimeEstimator m_storeTime;
     bool m_isBackingOff = false;
     bool m_isDeadlineCheckScheduled = false;
 };
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -88,7 +88,7 @@
     observation.workerEpoch = {static_cast<std::uint64_t>(cursor.number("epoch", 0, kMaxInteger))};
     observation.bootEpoch = {
         static_cast<std::uint64_t>(cursor.number("bootEpoch", 0, kMaxInteger))};
-    cursor.each("tasks", true, [&observation](const JsonCursor &task) {
+    cursor.forEach("tasks", true, [&observation](const JsonCursor &task) {
         ++observation.activeInstances;
         const std::string service = task.text("service");
         if (task.text("state") == "running")
--- a/src/scheduling/schedulerbudget.cpp
+++ b/src/scheduling/schedulerbudget.cpp
@@ -50,7 +50,7 @@
                 ? 1
                 : 0;
             const int others = presence.elsewhere + presence.here - readyHere;
-            if (spec->mayMiss >= 0 && spec->count - others > spec->mayMiss)
+            if (spec->maxDisrupted >= 0 && spec->count - others > spec->maxDisrupted)
                 continue;
             logDecision({"run_evacuated", {{"task", textOf(run.task)}, {"worker", id.name()}}});
             requestStop(run, now);
@@ -69,11 +69,11 @@
         const StepSpec *spec = findSpec(run.task);
         if (!run.isLongRunning || !spec)
             return false;
-        if (spec->mayMiss < 0)
+        if (spec->maxDisrupted < 0)
             continue;
         // All runs on the worker end at the same time.
         const StepPresence presence = presenceOf(run.task, id);
-        if (presence.possiblyHere > 0 && spec->count - presence.elsewhere > spec->mayMiss)
+        if (presence.possiblyHere > 0 && spec->count - presence.elsewhere > spec->maxDisrupted)
             return false;
     }
     return true;
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -290,7 +290,7 @@
 {
     const StepSpec &spec = job.spec.steps[static_cast<std::size_t>(step)];
     Resources need = spec.need;
-    if (spec.fills)
+    if (spec.usesIdleCores)
         need.milliCores = 0;
     WorkerState *best = nullptr;
     double bestScore = 0;
@@ -350,9 +350,9 @@
     TrackedTask &task = step.tasks[static_cast<std::size_t>(id.index)];
     WorkerRun run{.task = id, .run = number};
     run.reservation = spec.need;
-    if (spec.fills)
+    if (spec.usesIdleCores)
         run.reservation.milliCores = 0;
-    run.usesIdleCores = spec.fills;
+    run.usesIdleCores = spec.usesIdleCores;
     run.isLongRunning = spec.isLongRunning;
     run.latencyTarget = spec.latencyTarget;
     run.startSent = now;
--- a/src/scheduling/schedulerstatus.cpp
+++ b/src/scheduling/schedulerstatus.cpp
@@ -84,7 +84,7 @@
     run.recentLoad = reported.recentLoad;
     if (spec) {
         run.reservation = spec->need;
-        run.usesIdleCores = spec->fills;
+        run.usesIdleCores = spec->usesIdleCores;
         run.isLongRunning = spec->isLongRunning;
         run.latencyTarget = spec->latencyTarget;
         if (run.usesIdleCores)
--- a/tests/maintenance/hostplanner_test.cpp
+++ b/tests/maintenance/hostplanner_test.cpp
@@ -10,7 +10,7 @@
 const ServiceId kCalm("calm");
 const ServiceId kSpare("spare");
 
-/// Four hosts in each of two pools and four that are off.
+/// A fleet with four hosts in each of two pools and four spare hosts, which are off.
 class HostPlannerTest
 {
 protected:
@@ -23,7 +23,7 @@
             add("c" + std::to_string(index), kCalm, HostInfo::State::Up);
             add("s" + std::to_string(index), kSpare, HostInfo::State::Up);
         }
-        planner.takeHosts(hosts, now);
+        planner.updateHosts(hosts, now);
         uses[WorkerId("")] = {}; // a host that is off has no worker
     }
 
@@ -45,10 +45,10 @@
             [this](WorkerId worker) { return uses[worker]; }, now);
     }
 
-    void answer(const HostPlanner::Plan &plan, HostOrderResult result = HostOrderResult::Done)
+    void answer(const HostPlanner::Plan &plan, HostCommandResult result = HostCommandResult::Done)
     {
-        for (const HostOrder &order : plan.orders)
-            planner.orderAnswered(order, result, now);
+        for (const HostCommand &command : plan.commands)
+            planner.commandAnswered(command, result, now);
     }
 
     Wave wave(std::vector<std::string> names, int maxAtOnce)
@@ -62,14 +62,14 @@
     static int moves(const HostPlanner::Plan &plan, ServiceId pool)
     {
         int count = 0;
-        for (const HostOrder &order : plan.orders)
-            count += order.pool == pool ? 1 : 0;
+        for (const HostCommand &command : plan.commands)
+            count += command.pool == pool ? 1 : 0;
         return count;
     }
 
     Instant now{std::chrono::hours(1)};
     std::vector<HostInfo> hosts;
-    std::map<WorkerId, WorkerUse> uses;
+    std::map<WorkerId, WorkerUsage> uses;
     HostPlanner planner{HostPlannerSettings{}};
 };
 
@@ -82,7 +82,8 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_orderNotAnsweredYet_ordersNoMore", "[hosts]")
 {
-    // With a slow host service, each plan ordered the same number of hosts once more.
+    // Guards against repeated moves: while the host service was slow to answer, each plan moved the
+    // same number of hosts again.
     CHECK(moves(plan(50, 30), kBusy) == 2);
     now += Millis(200);
     CHECK(moves(plan(50, 30), kBusy) == 0);
@@ -90,14 +91,14 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_orderTurnedAway_ordersAgain", "[hosts]")
 {
-    answer(plan(50, 30), HostOrderResult::Busy);
-    now += HostPlannerSettings{}.orderRetry;
+    answer(plan(50, 30), HostCommandResult::Busy);
+    now += HostPlannerSettings{}.commandRetryDelay;
     CHECK(moves(plan(50, 30), kBusy) == 2);
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_sparesUsedUp_takesIdleHostsOfOtherPools", "[hosts]")
 {
-    CHECK(moves(plan(100, 0), kBusy) == 5); // four spares and the one that calm does not need
+    CHECK(moves(plan(100, 0), kBusy) == 5); // four spares and one surplus host of kCalm
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_otherPoolsHostsBusy_cordonsInsteadOfEndingWork",
@@ -113,18 +114,18 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_poolHasTooMany_givesThemBackAfterAWhile", "[hosts]")
 {
-    CHECK(plan(0, 30).orders.empty());
-    now += HostPlannerSettings{}.idleTime;
-    CHECK(moves(plan(0, 30), kSpare) == 1); // three stay, so that a lost rack leaves some
+    CHECK(plan(0, 30).commands.empty());
+    now += HostPlannerSettings{}.surplusTime;
+    CHECK(moves(plan(0, 30), kSpare) == 1); // three remain in case a rack fails
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_movedHost_staysForAWhile", "[hosts]")
 {
     answer(plan(50, 30));
     plan(0, 30);
-    now += HostPlannerSettings{}.idleTime;
-    for (const HostOrder &order : plan(0, 30).orders)
-        CHECK(order.host.name().substr(0, 1) == "b");
+    now += HostPlannerSettings{}.surplusTime;
+    for (const HostCommand &command : plan(0, 30).commands)
+        CHECK(command.host.name().substr(0, 1) == "b");
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_hostOrderedByEarlierOwner_isLeftAlone", "[hosts]")
@@ -140,36 +141,38 @@
 {
     planner.addWave(wave({"b0", "b1", "b2", "c0"}, 2), now);
     const HostPlanner::Plan first = plan(20, 20);
-    CHECK(first.orders.size() == 2);
+    CHECK(first.commands.size() == 2);
     answer(first);
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_earlierOwnersMaintenanceUnderWay_countsForTheLimit",
                  "[hosts]")
 {
-    // A new owner does not know which orders its predecessor has just sent (LIMIT, cal trouble-2).
+    // A new owner doesn't know which commands its predecessor has just sent, and exceeded the
+    // wave's limit. Seen in the scenario trouble-2.
     planner.addWave(wave({"b0", "b1", "b2", "c0"}, 2), now);
     planner.pause(HostId("b0"), now + Millis(3000));
     planner.pause(HostId("b1"), now + Millis(3000));
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_workerNotRead_isNotTakenForIdle", "[hosts]")
 {
-    // A new owner took hosts for empty whose workers it had not read (AVAIL, seven days).
+    // A new owner treated hosts as empty before it had read their workers' state, and violated the
+    // availability budget. Seen in a run of seven days.
     planner.addWave(wave({"b0"}, 1), now);
     uses[WorkerId("w-b0")] = {};
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
     uses[WorkerId("w-b0")] = {.isKnown = true};
-    CHECK(plan(20, 20).orders.size() == 1);
+    CHECK(plan(20, 20).commands.size() == 1);
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_budgetForbids_waitsWithMaintenance", "[hosts]")
 {
     planner.addWave(wave({"b0"}, 1), now);
     uses[WorkerId("w-b0")] = {.isKnown = true, .isEmpty = false, .mayInterrupt = false};
-    CHECK(plan(20, 20).orders.empty());
+    CHECK(plan(20, 20).commands.empty());
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_behindSchedule_evacuatesWhatBudgetsHold", "[hosts]")
@@ -189,7 +192,7 @@
     answer(result);
     now += Millis(10000);
     hosts[0].state = HostInfo::State::Up;
-    planner.takeHosts(hosts, now);
+    planner.updateHosts(hosts, now);
     result = plan(20, 20);
     CHECK(result.waveStates.empty());
     answer(result);
@@ -210,25 +213,26 @@
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_outcomeUnknown_ordersAgain", "[hosts]")
 {
     planner.addWave(wave({"b0"}, 1), now);
-    answer(plan(34, 34), HostOrderResult::Unknown);
+    answer(plan(34, 34), HostCommandResult::Unknown);
     now += Millis(5000);
-    CHECK(plan(34, 34).orders.size() == 1);
+    CHECK(plan(34, 34).commands.size() == 1);
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_poolOfOtherHosts_isNotTriedAgain", "[hosts]")
 {
     HostPlanner::Plan result = plan(50, 40);
-    answer(result, HostOrderResult::Invalid);
+    answer(result, HostCommandResult::Invalid);
     now += Millis(1000);
-    for (const HostOrder &order : plan(50, 40).orders) {
-        for (const HostOrder &refused : result.orders)
-            CHECK_FALSE((order.host == refused.host && order.pool == refused.pool));
+    for (const HostCommand &command : plan(50, 40).commands) {
+        for (const HostCommand &refused : result.commands)
+            CHECK_FALSE((command.host == refused.host && command.pool == refused.pool));
     }
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_antiaffinity_keepsHostsEnough", "[hosts]")
 {
-    // A pool shrank below the hosts that its tasks must be spread over (LOST, cal scale-1).
+    // A pool was reduced below the number of hosts that its tasks must be spread over, and
+    // tasks were lost. Seen in the scenario scale-1.
     now += Millis(10000);
     const auto needs = [&] {
         return planner.plan(
@@ -236,7 +240,7 @@
             [this](WorkerId worker) { return uses[worker]; }, now);
     };
     CHECK(moves(needs(), kBusy) == 1);
-    // One more while its hosts are maintained.
+    // The pool gets one host more while its hosts are maintained.
     planner.addWave(wave({"b0", "b1"}, 1), now);
     now += Millis(10000);
     CHECK(moves(needs(), kBusy) == 1);
