--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -323,12 +323,12 @@
             score += kDataRackBonus;
         if (spec.isLongRunning && m_awaitingMaintenance.contains(id))
             score -= kMaintenancePenalty;
-        if (spec.isLongRunning && spec.mayMiss >= 0)
+        if (spec.isLongRunning && spec.maxDisrupted >= 0)
             score -= kSameStepPenalty * std::max(0, sameStep - 1); // limits the loss of one host
         const auto capacity = static_cast<double>(
             std::max<std::int64_t>(worker.info.capacity.milliCores, 1));
         const double free = static_cast<double>(worker.freeCapacity().milliCores) / capacity;
-        if (spec.fills)
+        if (spec.usesIdleCores)
             score += kFreeShareWeight * free - kMixedLoadPenalty * serving;
         else if (spec.latencyTarget.count() > 0)
             score += kFreeShareWeight * free - kMixedLoadPenalty * onIdleCores;
