--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -145,7 +145,7 @@
             || (answer.status != kOk && answer.status != kGone))
             continue;
         const auto state = answer.status == kGone ? std::nullopt
-                                                  : platform::decodeState(answer.body);
+                                                  : platform::decodeJobState(answer.body);
         m_promises.told(job.id, state);
         if (!state || isFinal(*state))
             co_return;
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -57,7 +57,8 @@
         return static_cast<std::uint16_t>(settings.firstPort + offset);
     };
     m_tableServer = std::make_shared<CallerServer>(
-        io, limits(), [this](HttpRequest &request) { return m_table.answer(request); }, m_metrics);
+        io, limits(), [this](HttpRequest &request) { return m_table.handleRequest(request); },
+        m_metrics);
     m_tableServer->start(kAddress, port(kTablePort));
     m_config = {.version = {1},
                 .queues = {queueOf("alpha", "pool-a"), queueOf("beta", "pool-b")},
@@ -72,7 +73,7 @@
         worker.server = std::make_shared<CallerServer>(
             io, limits(),
             [this, index](HttpRequest &request) {
-                return m_workers[static_cast<std::size_t>(index)].life->answer(request);
+                return m_workers[static_cast<std::size_t>(index)].life->handleRequest(request);
             },
             m_metrics);
         worker.server->start(kAddress, target);
@@ -127,7 +128,7 @@
 void Deployment::startWorker(int index)
 {
     Worker &worker = m_workers[static_cast<std::size_t>(index)];
-    if (worker.life && !worker.life->isOver())
+    if (worker.life && !worker.life->hasTerminated())
         crashWorker(index); // an earlier fault had begun this life
     ++worker.lives;
     const std::string id = "w" + std::to_string(index) + "-" + std::to_string(worker.lives);
@@ -143,14 +144,14 @@
 void Deployment::crashWorker(int index)
 {
     Worker &worker = m_workers[static_cast<std::size_t>(index)];
-    if (worker.life->isOver())
+    if (worker.life->hasTerminated())
         return;
     worker.life->crash();
     worker.proxy->reset();
     m_past.push_back(worker.life);
     auto timer = std::make_shared<boost::asio::steady_timer>(m_io, kEntryLapse);
     timer->async_wait([this, timer, id = worker.life->id()](const boost::system::error_code &) {
-        m_table.drop(platform::kWorkerTable, id);
+        m_table.remove(platform::kWorkerTable, id);
     });
 }
 
--- a/soak/faults.cpp
+++ b/soak/faults.cpp
@@ -85,15 +85,15 @@
     std::string what = "table ";
     switch (m_random() % 6) {
     case 0:
-        fault.isDown = true;
+        fault.isUnavailable = true;
         what += "down";
         break;
     case 1:
-        fault.lostShare = kLostShare;
+        fault.lostResponseShare = kLostShare;
         what += "loses answers";
         break;
     case 2:
-        fault.lateShare = kLostShare;
+        fault.delayedEffectShare = kLostShare;
         what += "works late";
         break;
     case 3:
@@ -101,7 +101,7 @@
         what += "slow";
         break;
     case 4:
-        at(begin, "table forgets its history", [this] { m_deployment.table().forgetHistory(); });
+        at(begin, "table forgets its history", [this] { m_deployment.table().discardHistory(); });
         return;
     default:
         at(begin, "configuration changes, a damaged row", [this] {
--- a/soak/promises.cpp
+++ b/soak/promises.cpp
@@ -71,7 +71,7 @@
     return true;
 }
 
-void Promises::started(const TaskId &id, std::int64_t run, const std::string &worker)
+void Promises::onRunStarted(const TaskId &id, std::int64_t run, const std::string &worker)
 {
     ++m_runs;
     const std::string name = textOf(id) + " run " + std::to_string(run) + " on " + worker;
@@ -101,7 +101,7 @@
     task.running[run] = worker;
 }
 
-void Promises::ended(const TaskId &id, std::int64_t run, RunOutcome end)
+void Promises::onRunEnded(const TaskId &id, std::int64_t run, RunOutcome end)
 {
     Task &task = m_tasks[id];
     task.running.erase(run);
@@ -110,7 +110,7 @@
     task.failures += end == RunOutcome::Failed ? 1 : 0;
 }
 
-void Promises::endNoted(const TaskId &id, std::int64_t run)
+void Promises::onEndAcknowledged(const TaskId &id, std::int64_t run)
 {
     Task &task = m_tasks[id];
     const auto end = task.ends.find(run);
--- a/soak/promises.h
+++ b/soak/promises.h
@@ -28,9 +28,9 @@
     void told(JobId id, std::optional<JobState> state);
 
     // What workers see.
-    void started(const TaskId &task, std::int64_t run, const std::string &worker) override;
-    void ended(const TaskId &task, std::int64_t run, RunOutcome end) override;
-    void endNoted(const TaskId &task, std::int64_t run) override;
+    void onRunStarted(const TaskId &task, std::int64_t run, const std::string &worker) override;
+    void onRunEnded(const TaskId &task, std::int64_t run, RunOutcome end) override;
+    void onEndAcknowledged(const TaskId &task, std::int64_t run) override;
 
     /// Checks, when all faults are over and time was left, that nothing is open.
     void checkEnd();
--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -51,7 +51,7 @@
 
 Instant latestAnswer(const HttpRequest &request, Instant now)
 {
-    const auto limit = request[platform::kTimeLimitHeader];
+    const auto limit = request[platform::kDeadlineHeader];
     std::int64_t milliseconds = 0;
     const auto parsed = std::from_chars(limit.data(), limit.data() + limit.size(), milliseconds);
     if (limit.empty() || parsed.ec != std::errc())
@@ -152,7 +152,7 @@
         return refuse(kUnavailable, "count_unknown", kComeBack);
     const auto found = m_view.report.waiting.find(target.queue.name);
     return jsonReply(
-        platform::encodeWaiting(found == m_view.report.waiting.end() ? 0 : found->second));
+        platform::encodeWaitingCount(found == m_view.report.waiting.end() ? 0 : found->second));
 }
 
 asio::awaitable<TransactionResult> CallerApi::transact(Transaction transaction)
@@ -231,7 +231,7 @@
 asio::awaitable<Reply> CallerApi::state(JobId id)
 {
     const ReadResult result = co_await readJob(id);
-    if (!result.isAnswered)
+    if (!result.isSuccess)
         co_return refuse(kUnavailable, "table_unreachable", kComeBack);
     std::optional<JobProgress> progress;
     bool isCancelled = false;
@@ -249,17 +249,17 @@
     }
     const bool isShownCancelled = isCancelled && !isFinal(progress->state);
     co_return jsonReply(
-        platform::encodeState(isShownCancelled ? JobState::Cancelled : progress->state));
+        platform::encodeJobState(isShownCancelled ? JobState::Cancelled : progress->state));
 }
 
 asio::awaitable<Reply> CallerApi::cancel(JobId id)
 {
     const ReadResult result = co_await readJob(id);
-    if (!result.isAnswered)
+    if (!result.isSuccess)
         co_return refuse(kUnavailable, "table_unreachable", kComeBack);
     if (result.rows.empty())
         co_return refuse(kGone, "no_such_job", std::nullopt);
-    Transaction transaction{.part = partName(partNumber(id))};
+    Transaction transaction{.partition = partName(partNumber(id))};
     for (const char *table : {kJobTable, kProgressTable})
         transaction.writes.push_back({table, jobKey(id, JobRow::Cancel), "1"});
     for (int attempt = 1; attempt <= kCancelTries; ++attempt) {
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -233,9 +233,9 @@
     void takeOver()
     {
         const TermRecord term = m_ownership.term();
-        platform::Transaction transaction{.part = kOwnPart};
-        transaction.expected.push_back({kControlTable, kTermKey, term.version});
-        transaction.expected.push_back({kControlTable, kBeatKey, m_ownership.beatVersion()});
+        platform::Transaction transaction{.partition = kOwnPart};
+        transaction.preconditions.push_back({kControlTable, kTermKey, term.version});
+        transaction.preconditions.push_back({kControlTable, kBeatKey, m_ownership.beatVersion()});
         transaction.writes.push_back({kControlTable, kTermKey,
                                       encodeTerm({.owner = m_settings.id.name(),
                                                   .generation = term.generation + 1,
@@ -243,7 +243,7 @@
         transaction.writes.push_back({kControlTable, kBeatKey, "{}"});
         m_table.transact(transaction, kTakeOverTime, [this](const platform::TransactionResult &r) {
             const bool isDone = r.outcome == platform::TransactionResult::Outcome::Done;
-            m_ownership.takeOverAnswered(isDone, r.version, r.sent, bootNow());
+            m_ownership.takeOverAnswered(isDone, r.version, r.sentAt, bootNow());
             if (!isDone || m_isStopping)
                 return;
             m_metrics.count("ownership_taken_total");
@@ -267,13 +267,13 @@
 
     void renew()
     {
-        platform::Transaction transaction{.part = kOwnPart};
-        transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
+        platform::Transaction transaction{.partition = kOwnPart};
+        transaction.preconditions.push_back({kControlTable, kTermKey, m_ownership.term().version});
         transaction.writes.push_back({kControlTable, kBeatKey, encodeReport()});
         m_table.transact(transaction, kControlTime, [this](const platform::TransactionResult &r) {
             using Outcome = platform::TransactionResult::Outcome;
             m_ownership.renewAnswered(r.outcome == Outcome::Done, r.outcome == Outcome::Conflict,
-                                      r.version, r.sent, bootNow());
+                                      r.version, r.sentAt, bootNow());
             if (!m_ownership.isOwner())
                 endTerm();
         });
@@ -326,8 +326,8 @@
             return;
         endTerm();
         m_ownership.renewAnswered(false, true, 0, bootNow(), bootNow());
-        platform::Transaction transaction{.part = kOwnPart};
-        transaction.expected.push_back({kControlTable, kTermKey, term.version});
+        platform::Transaction transaction{.partition = kOwnPart};
+        transaction.preconditions.push_back({kControlTable, kTermKey, term.version});
         transaction.writes.push_back(
             {kControlTable, kTermKey,
              encodeTerm({.generation = term.generation, .processorShare = term.processorShare})});
--- a/src/node/hostkeeper.cpp
+++ b/src/node/hostkeeper.cpp
@@ -96,7 +96,7 @@
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
-                     if (!result.isAnswered)
+                     if (!result.isSuccess)
                          self->readIntents(); // a call takes its time even when it fails
                      else
                          self->takeIntents(result);
@@ -140,8 +140,8 @@
     web::json::value record = web::json::value::object();
     for (const auto &[host, when] : m_intents)
         record[host.name()] = web::json::value(when);
-    platform::Transaction transaction{.part = kOwnPart};
-    transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
+    platform::Transaction transaction{.partition = kOwnPart};
+    transaction.preconditions.push_back({kControlTable, kTermKey, m_ownership.term().version});
     transaction.writes.push_back({kControlTable, kIntentKey, record.serialize()});
     m_table.transact(transaction, kAnnounceTime,
                      [weak = weak_from_this(), pending](const platform::TransactionResult &result) {
@@ -345,8 +345,8 @@
         std::size_t index = 0;
         for (const HostId host : maintained)
             list[index++] = web::json::value(host.name());
-        platform::Transaction transaction{.part = kOwnPart};
-        transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
+        platform::Transaction transaction{.partition = kOwnPart};
+        transaction.preconditions.push_back({kControlTable, kTermKey, m_ownership.term().version});
         transaction.writes.push_back(
             {kControlTable, std::string(kWavePrefix) + std::to_string(number), list.serialize()});
         m_isRecording = true;
--- a/src/node/jobwriter.cpp
+++ b/src/node/jobwriter.cpp
@@ -110,10 +110,10 @@
         batch.push_back(std::move(m_queue.front()));
         m_queue.pop_front();
     }
-    platform::Transaction transaction{.part = m_part};
+    platform::Transaction transaction{.partition = m_part};
     for (const WaitingPtr &waiting : batch) {
         const std::string progressKey = jobKey(waiting->id, JobRow::Progress);
-        transaction.expected.push_back({kProgressTable, progressKey, 0});
+        transaction.preconditions.push_back({kProgressTable, progressKey, 0});
         transaction.writes.push_back({kJobTable, jobKey(waiting->id, JobRow::Spec), waiting->spec});
         transaction.writes.push_back({kProgressTable, progressKey, waiting->progress});
     }
--- a/src/node/owner.cpp
+++ b/src/node/owner.cpp
@@ -182,19 +182,19 @@
 
 void Owner::send(const CpuLimitCommand &order)
 {
-    m_workers.pace(addressOf(order.worker), order,
-                   [weak = weak_from_this(), order](CallResult result) {
-                       const auto self = weak.lock();
-                       if (!self || self->m_isStopped)
-                           return;
-                       self->m_scheduler.onCpuLimitResult(order, result, bootNow());
-                       self->wake();
-                   });
+    m_workers.setCpuLimit(addressOf(order.worker), order,
+                          [weak = weak_from_this(), order](CallResult result) {
+                              const auto self = weak.lock();
+                              if (!self || self->m_isStopped)
+                                  return;
+                              self->m_scheduler.onCpuLimitResult(order, result, bootNow());
+                              self->wake();
+                          });
 }
 
 void Owner::send(const PollRequest &order)
 {
-    m_workers.look(addressOf(order.worker), order,
+    m_workers.poll(addressOf(order.worker), order,
                    [weak = weak_from_this(), order](CallResult result, const WorkerStatus &look,
                                                     Instant sent) {
                        const auto self = weak.lock();
@@ -210,17 +210,17 @@
 {
     if (!m_advice)
         return;
-    m_advice->ask(order,
-                  [weak = weak_from_this(),
-                   order](const std::optional<platform::AdviceClient::Tickets> &tickets) {
-                      const auto self = weak.lock();
-                      if (!self || self->m_isStopped)
-                          return;
-                      self->m_scheduler.onAdviceResult(
-                          order, tickets.has_value(),
-                          tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
-                      self->wake();
-                  });
+    m_advice->requestAdvice(order,
+                            [weak = weak_from_this(),
+                             order](const std::optional<platform::AdviceClient::Tickets> &tickets) {
+                                const auto self = weak.lock();
+                                if (!self || self->m_isStopped)
+                                    return;
+                                self->m_scheduler.onAdviceResult(
+                                    order, tickets.has_value(),
+                                    tickets.value_or(platform::AdviceClient::Tickets{}), bootNow());
+                                self->wake();
+                            });
 }
 
 void Owner::send(const ProgressWrite &order)
@@ -234,9 +234,9 @@
     const auto batchOf = [&](JobId id) -> Batch & {
         const int part = partNumber(id);
         Batch &batch = batches[part];
-        if (batch.transaction.part.empty()) {
-            batch.transaction.part = partName(part);
-            batch.transaction.expected.push_back(
+        if (batch.transaction.partition.empty()) {
+            batch.transaction.partition = partName(part);
+            batch.transaction.preconditions.push_back(
                 {kFenceTable, kFenceKey, m_fences[static_cast<std::size_t>(part)]});
         }
         return batch;
@@ -245,14 +245,15 @@
         Batch &batch = batchOf(update.id);
         const std::string key = jobKey(update.id, JobRow::Progress);
         // A write that lands late must not undo a newer one.
-        batch.transaction.expected.push_back({kProgressTable, key, m_progressVersions[update.id]});
+        batch.transaction.preconditions.push_back(
+            {kProgressTable, key, m_progressVersions[update.id]});
         batch.transaction.writes.push_back({kProgressTable, key, encodeProgress(update)});
         if (isFinal(update.state))
-            batch.transaction.drops.push_back({kJobTable, jobKey(update.id, JobRow::Spec), {}});
+            batch.transaction.deletes.push_back({kJobTable, jobKey(update.id, JobRow::Spec), {}});
         batch.updates.push_back(update);
     }
     for (const JobId id : order.dropped) {
-        auto &drops = batchOf(id).transaction.drops;
+        auto &drops = batchOf(id).transaction.deletes;
         drops.push_back({kJobTable, jobKey(id, JobRow::Cancel), {}});
         drops.push_back({kProgressTable, jobKey(id, JobRow::Cancel), {}});
         drops.push_back({kProgressTable, jobKey(id, JobRow::Progress), {}});
--- a/src/node/ownerloading.cpp
+++ b/src/node/ownerloading.cpp
@@ -33,7 +33,7 @@
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
-                     if (!result.isAnswered) {
+                     if (!result.isSuccess) {
                          self->fence(part); // a call takes its time even when it fails
                          return;
                      }
@@ -50,8 +50,8 @@
 
 void Owner::writeFence(int part, std::uint64_t knownVersion)
 {
-    platform::Transaction transaction{.part = partName(part)};
-    transaction.expected.push_back({kFenceTable, kFenceKey, knownVersion});
+    platform::Transaction transaction{.partition = partName(part)};
+    transaction.preconditions.push_back({kFenceTable, kFenceKey, knownVersion});
     transaction.writes.push_back({kFenceTable, kFenceKey, std::to_string(m_term.version)});
     m_table.transact(transaction, kFenceTime,
                      [weak = weak_from_this(), part](const platform::TransactionResult &result) {
@@ -74,7 +74,7 @@
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
-                     if (!result.isAnswered) {
+                     if (!result.isSuccess) {
                          self->readProgress(part, from);
                          return;
                      }
@@ -174,7 +174,7 @@
 
 void Owner::takeWorkers(const platform::ReadResult &result)
 {
-    if (!result.isAnswered)
+    if (!result.isSuccess)
         return; // the last list stays; a worker that is gone does not answer
     std::vector<WorkerInfo> workers;
     for (const platform::TableRow &row : result.rows) {
--- a/src/node/tablefollower.cpp
+++ b/src/node/tablefollower.cpp
@@ -56,7 +56,7 @@
                  [self = shared_from_this()](platform::ReadResult result) {
                      if (self->m_isStopped)
                          return;
-                     if (!result.isAnswered) {
+                     if (!result.isSuccess) {
                          self->again(kRetry, &TableFollower::readWhole);
                          return;
                      }
@@ -64,7 +64,7 @@
                      if (whole.version == 0) {
                          whole.version = result.version;
                          whole.clockMs = result.clockMs;
-                         whole.sent = result.sent;
+                         whole.sent = result.sentAt;
                      }
                      std::move(result.rows.begin(), result.rows.end(),
                                std::back_inserter(whole.rows));
@@ -86,36 +86,36 @@
 
 void TableFollower::follow()
 {
-    m_table.follow(m_source.table, m_version, m_source.wait,
-                   [self = shared_from_this()](platform::ReadResult result) {
-                       if (self->m_isStopped)
-                           return;
-                       if (result.isHistoryGone) {
-                           logWarning("table_history_gone",
-                                      {{"table", self->m_source.table},
-                                       {"version", std::to_string(self->m_version)}});
-                           self->readWhole();
-                           return;
-                       }
-                       if (!result.isAnswered) {
-                           if (self->m_isReachable)
-                               logWarning("table_unreachable", {{"table", self->m_source.table}});
-                           self->m_isReachable = false;
-                           self->again(kRetry, &TableFollower::follow);
-                           return;
-                       }
-                       if (!self->m_isReachable)
-                           logInfo("table_reachable_again", {{"table", self->m_source.table}});
-                       self->m_isReachable = true;
-                       self->m_version = std::max(self->m_version, result.version);
-                       self->m_lastAnswered = result.sent;
-                       self->m_sink({.rows = std::move(result.rows),
-                                     .version = self->m_version,
-                                     .clockMs = result.clockMs,
-                                     .sent = result.sent});
-                       if (!self->m_isStopped)
-                           self->again(self->m_source.spacing, &TableFollower::follow);
-                   });
+    m_table.watch(m_source.table, m_version, m_source.wait,
+                  [self = shared_from_this()](platform::ReadResult result) {
+                      if (self->m_isStopped)
+                          return;
+                      if (result.isHistoryGone) {
+                          logWarning("table_history_gone",
+                                     {{"table", self->m_source.table},
+                                      {"version", std::to_string(self->m_version)}});
+                          self->readWhole();
+                          return;
+                      }
+                      if (!result.isSuccess) {
+                          if (self->m_isReachable)
+                              logWarning("table_unreachable", {{"table", self->m_source.table}});
+                          self->m_isReachable = false;
+                          self->again(kRetry, &TableFollower::follow);
+                          return;
+                      }
+                      if (!self->m_isReachable)
+                          logInfo("table_reachable_again", {{"table", self->m_source.table}});
+                      self->m_isReachable = true;
+                      self->m_version = std::max(self->m_version, result.version);
+                      self->m_lastAnswered = result.sentAt;
+                      self->m_sink({.rows = std::move(result.rows),
+                                    .version = self->m_version,
+                                    .clockMs = result.clockMs,
+                                    .sent = result.sentAt});
+                      if (!self->m_isStopped)
+                          self->again(self->m_source.spacing, &TableFollower::follow);
+                  });
 }
 
 } // namespace oleanderhall
--- a/tests/platform/decoders_test.cpp
+++ b/tests/platform/decoders_test.cpp
@@ -135,7 +135,7 @@
 
 TEST_CASE("WorkerClient_look_readsRunsAndEnds", "[platform]")
 {
-    const WorkerStatus look = decodeLook(kLook);
+    const WorkerStatus look = decodeWorkerStatus(kLook);
     CHECK(look.clock == Millis(482113));
     REQUIRE(look.running.size() == 1);
     CHECK(look.running[0].progressPercent == 41);
@@ -143,7 +143,7 @@
     REQUIRE(look.ended.size() == 1);
     CHECK(look.ended[0].runOutcome == RunOutcome::Done);
     CHECK(look.ended[0].sequence == 58);
-    survivesDamage(kLook, [](const std::string &text) { decodeLook(text); });
+    survivesDamage(kLook, [](const std::string &text) { decodeWorkerStatus(text); });
 }
 
 TEST_CASE("WaveMessages_rowsOfOtherKinds_areNoWaves", "[platform]")
