--- a/tests/platform/decoders_test.cpp
+++ b/tests/platform/decoders_test.cpp
@@ -1,4 +1,5 @@
-// What the platform and other writers may send: damaged messages name nothing and do no harm.
+// Guards against crashes and false workers, waves or jobs from messages of the platform and other
+// programs: a malformed message is rejected with an exception or a finding.
 #include "../../platform/callermessages.h"
 #include "../../platform/configuration.h"
 #include "../../platform/discovery.h"
@@ -14,7 +15,7 @@
 
 namespace {
 
-const std::string kWorker =
+const std::string kWorkerEntry =
     R"({"service":"huvo11a","address":"10.128.0.9:8080","zone":"z1","version":"v1","slots":8,)"
     R"("state":"ready","capacity":{"cpu":16000,"memMb":32768,"gpu":0},"labels":["a","r1-3"],)"
     R"("clockMs":482113,"seq":4})";
@@ -26,11 +27,11 @@
     R"("timeoutMs":3000,"targetDurationMs":600,"priority":1,"maxAttempts":4,"stretch":1.6}],)"
     R"("services":[{"name":"s","rejectsOverload":true,"spare":false}]})";
 const std::string
-    kLook = R"({"clockMs":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00bb",41,120]],)"
-            R"("finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]})";
+    kWorkerStatus = R"({"clockMs":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00bb",41,120]],)"
+                    R"("finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]})";
 const std::string kWave = R"({"wave":1,"machines":["m-1","m-2"],"durationS":20.5,"maxCount":3})";
 
-/// Returns `text` with one byte changed and cut somewhere.
+/// Returns `text` with one random byte replaced, and in half of the cases cut at a random position.
 std::string damaged(std::string text)
 {
     text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::arbitrary<char>();
@@ -39,7 +40,8 @@
     return text;
 }
 
-/// Returns `text` with one member's value replaced by one of another type.
+/// Returns `text` with the value of one random member replaced by one that is usually of another
+/// type.
 std::string retyped(std::string text)
 {
     const std::string other = *rc::gen::element<std::string>("null", "[]", "{}", "\"x\"", "-1",
@@ -51,6 +53,7 @@
     return text.substr(0, colon + 1) + other + text.substr(end);
 }
 
+/// Checks that `decode` accepts or throws for damaged copies of `message`.
 template <typename Decode>
 void survivesDamage(const std::string &message, Decode decode)
 {
@@ -67,7 +70,7 @@
 
 TEST_CASE("Discovery_wholeEntry_namesTheWorker", "[platform]")
 {
-    const WorkerInfo worker = decodeWorker("i-1", kWorker);
+    const WorkerInfo worker = decodeWorker("i-1", kWorkerEntry);
     CHECK(worker.id.name() == "i-1");
     CHECK(worker.pool.name() == "huvo11a");
     CHECK(worker.capacity.milliCores == 16000);
@@ -83,10 +86,10 @@
           R"({"service":"s","address":"nowhere","zone":"z","state":"ready","capacity":{}})",
           R"({"service":"s","address":"1.1.1.1:1","zone":"z","state":"ready","capacity":4})"})
         CHECK_THROWS_AS(decodeWorker("i-1", entry), MalformedMessage);
-    survivesDamage(kWorker, [](const std::string &text) { decodeWorker("i-1", text); });
+    survivesDamage(kWorkerEntry, [](const std::string &text) { decodeWorker("i-1", text); });
 }
 
-TEST_CASE("CallerMessages_wholeJob_isReadInOurTerms", "[platform]")
+TEST_CASE("CallerMessages_wholeJob_isDecoded", "[platform]")
 {
     JobSpec job;
     FindingList findings;
@@ -105,14 +108,14 @@
     FindingList findings;
     decodeJob(R"({"spec":7,"steps":[{"count":0},{"count":1,"cpu":"x","after":[5]}]})", job,
               findings);
-    std::vector<std::string> places;
+    std::vector<std::string> locations;
     for (const Finding &finding : findings.items())
-        places.push_back(finding.place);
-    CHECK(places
+        locations.push_back(finding.place);
+    CHECK(locations
           == std::vector<std::string>{"/spec", "/steps/0/count", "/steps/1/cpu", "/steps/1/after"});
 }
 
-TEST_CASE("CallerMessages_damagedJob_isFoundOrRead", "[platform]")
+TEST_CASE("CallerMessages_damagedJob_isReportedOrDecoded", "[platform]")
 {
     survivesDamage(kJob, [](const std::string &text) {
         JobSpec job;
@@ -133,17 +136,17 @@
     survivesDamage(kConfig, [](const std::string &text) { decodeConfiguration(text); });
 }
 
-TEST_CASE("WorkerClient_look_readsRunsAndEnds", "[platform]")
+TEST_CASE("WorkerClient_workerStatus_readsActiveAndEndedRuns", "[platform]")
 {
-    const WorkerStatus look = decodeWorkerStatus(kLook);
-    CHECK(look.clock == Millis(482113));
-    REQUIRE(look.running.size() == 1);
-    CHECK(look.running[0].progressPercent == 41);
-    CHECK(look.running[0].recentLoad == 120);
-    REQUIRE(look.ended.size() == 1);
-    CHECK(look.ended[0].runOutcome == RunOutcome::Done);
-    CHECK(look.ended[0].sequence == 58);
-    survivesDamage(kLook, [](const std::string &text) { decodeWorkerStatus(text); });
+    const WorkerStatus status = decodeWorkerStatus(kWorkerStatus);
+    CHECK(status.clock == Millis(482113));
+    REQUIRE(status.running.size() == 1);
+    CHECK(status.running[0].progressPercent == 41);
+    CHECK(status.running[0].recentLoad == 120);
+    REQUIRE(status.ended.size() == 1);
+    CHECK(status.ended[0].runOutcome == RunOutcome::Done);
+    CHECK(status.ended[0].sequence == 58);
+    survivesDamage(kWorkerStatus, [](const std::string &text) { decodeWorkerStatus(text); });
 }
 
 TEST_CASE("WaveMessages_rowsOfOtherKinds_areNoWaves", "[platform]")
