--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -238,9 +238,9 @@
     void takeOver()
     {
         const TermRecord term = m_ownership.term();
-        platform::Transaction transaction{.part = kControlPartition};
-        transaction.expected.push_back({kControlTable, kTermKey, term.version});
-        transaction.expected.push_back(
+        platform::Transaction transaction{.partition = kControlPartition};
+        transaction.preconditions.push_back({kControlTable, kTermKey, term.version});
+        transaction.preconditions.push_back(
             {kControlTable, kHeartbeatKey, m_ownership.heartbeatVersion()});
         transaction.writes.push_back({kControlTable, kTermKey,
                                       encodeTerm({.owner = m_settings.id.name(),
@@ -250,7 +250,7 @@
         m_table.transact(
             transaction, kTakeOverTimeout, [this](const platform::TransactionResult &response) {
                 const bool isDone = response.outcome == platform::TransactionResult::Outcome::Done;
-                m_ownership.takeOverAnswered(isDone, response.version, response.sent,
+                m_ownership.takeOverAnswered(isDone, response.version, response.sentAt,
                                              monotonicNow());
                 if (!isDone || m_isShuttingDown)
                     return;
@@ -275,15 +275,15 @@
 
     void renew()
     {
-        platform::Transaction transaction{.part = kControlPartition};
-        transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
+        platform::Transaction transaction{.partition = kControlPartition};
+        transaction.preconditions.push_back({kControlTable, kTermKey, m_ownership.term().version});
         transaction.writes.push_back({kControlTable, kHeartbeatKey, encodeReport()});
         m_table.transact(
             transaction, kControlTimeout, [this](const platform::TransactionResult &response) {
                 using Outcome = platform::TransactionResult::Outcome;
                 m_ownership.renewAnswered(response.outcome == Outcome::Done,
                                           response.outcome == Outcome::Conflict, response.version,
-                                          response.sent, monotonicNow());
+                                          response.sentAt, monotonicNow());
                 if (!m_ownership.isOwner())
                     endTerm();
             });
@@ -337,8 +337,8 @@
             return;
         endTerm();
         m_ownership.renewAnswered(false, true, 0, monotonicNow(), monotonicNow());
-        platform::Transaction transaction{.part = kControlPartition};
-        transaction.expected.push_back({kControlTable, kTermKey, term.version});
+        platform::Transaction transaction{.partition = kControlPartition};
+        transaction.preconditions.push_back({kControlTable, kTermKey, term.version});
         transaction.writes.push_back(
             {kControlTable, kTermKey,
              encodeTerm({.generation = term.generation, .processorShare = term.processorShare})});
--- a/src/node/fleetowner.cpp
+++ b/src/node/fleetowner.cpp
@@ -184,19 +184,19 @@
 
 void FleetOwner::send(const CpuLimitCommand &command)
 {
-    m_workerClient.pace(addressOf(command.worker), command,
-                        [weak = weak_from_this(), command](CallResult result) {
-                            const auto self = weak.lock();
-                            if (!self || self->m_isStopped)
-                                return;
-                            self->m_scheduler.onCpuLimitResult(command, result, monotonicNow());
-                            self->scheduleStep();
-                        });
+    m_workerClient.setCpuLimit(
+        addressOf(command.worker), command, [weak = weak_from_this(), command](CallResult result) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            self->m_scheduler.onCpuLimitResult(command, result, monotonicNow());
+            self->scheduleStep();
+        });
 }
 
 void FleetOwner::send(const PollRequest &request)
 {
-    m_workerClient.look(
+    m_workerClient.poll(
         addressOf(request.worker), request,
         [weak = weak_from_this(), request](CallResult result, const WorkerStatus &status,
                                            Instant sentAt) {
@@ -213,18 +213,18 @@
 {
     if (!m_adviceClient)
         return;
-    m_adviceClient->ask(request,
-                        [weak = weak_from_this(),
-                         request](const std::optional<platform::AdviceClient::Tickets> &tickets) {
-                            const auto self = weak.lock();
-                            if (!self || self->m_isStopped)
-                                return;
-                            self->m_scheduler.onAdviceResult(
-                                request, tickets.has_value(),
-                                tickets.value_or(platform::AdviceClient::Tickets{}),
-                                monotonicNow());
-                            self->scheduleStep();
-                        });
+    m_adviceClient->requestAdvice(
+        request,
+        [weak = weak_from_this(),
+         request](const std::optional<platform::AdviceClient::Tickets> &tickets) {
+            const auto self = weak.lock();
+            if (!self || self->m_isStopped)
+                return;
+            self->m_scheduler.onAdviceResult(request, tickets.has_value(),
+                                             tickets.value_or(platform::AdviceClient::Tickets{}),
+                                             monotonicNow());
+            self->scheduleStep();
+        });
 }
 
 void FleetOwner::send(const ProgressWrite &write)
@@ -238,9 +238,9 @@
     const auto batchOf = [&](JobId id) -> Batch & {
         const int partition = jobPartition(id);
         Batch &batch = batches[partition];
-        if (batch.transaction.part.empty()) {
-            batch.transaction.part = jobPartitionName(partition);
-            batch.transaction.expected.push_back(
+        if (batch.transaction.partition.empty()) {
+            batch.transaction.partition = jobPartitionName(partition);
+            batch.transaction.preconditions.push_back(
                 {kFencingTokenTable, kFencingTokenKey,
                  m_tokenRowVersions[static_cast<std::size_t>(partition)]});
         }
@@ -250,14 +250,15 @@
         Batch &batch = batchOf(update.id);
         const std::string key = jobKey(update.id, JobRow::Progress);
         // The expected version prevents a delayed write from overwriting a newer one.
-        batch.transaction.expected.push_back({kProgressTable, key, m_progressVersions[update.id]});
+        batch.transaction.preconditions.push_back(
+            {kProgressTable, key, m_progressVersions[update.id]});
         batch.transaction.writes.push_back({kProgressTable, key, encodeProgress(update)});
         if (isFinal(update.state))
-            batch.transaction.drops.push_back({kJobTable, jobKey(update.id, JobRow::Spec), {}});
+            batch.transaction.deletes.push_back({kJobTable, jobKey(update.id, JobRow::Spec), {}});
         batch.updates.push_back(update);
     }
     for (const JobId id : write.dropped) {
-        auto &drops = batchOf(id).transaction.drops;
+        auto &drops = batchOf(id).transaction.deletes;
         drops.push_back({kJobTable, jobKey(id, JobRow::Cancel), {}});
         drops.push_back({kProgressTable, jobKey(id, JobRow::Cancel), {}});
         drops.push_back({kProgressTable, jobKey(id, JobRow::Progress), {}});
--- a/src/node/fleetownerloading.cpp
+++ b/src/node/fleetownerloading.cpp
@@ -35,7 +35,7 @@
                      if (!self || self->m_isStopped)
                          return;
                      // Retried at once: a failed call usually lasts until its timeout.
-                     if (!result.isAnswered) {
+                     if (!result.isSuccess) {
                          self->fencePartition(partition);
                          return;
                      }
@@ -53,8 +53,8 @@
 
 void FleetOwner::writeFencingToken(int partition, std::uint64_t knownVersion)
 {
-    platform::Transaction transaction{.part = jobPartitionName(partition)};
-    transaction.expected.push_back({kFencingTokenTable, kFencingTokenKey, knownVersion});
+    platform::Transaction transaction{.partition = jobPartitionName(partition)};
+    transaction.preconditions.push_back({kFencingTokenTable, kFencingTokenKey, knownVersion});
     transaction.writes.push_back(
         {kFencingTokenTable, kFencingTokenKey, std::to_string(m_term.version)});
     m_table.transact(
@@ -79,7 +79,7 @@
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
-                     if (!result.isAnswered) {
+                     if (!result.isSuccess) {
                          self->readProgress(partition, from);
                          return;
                      }
@@ -183,7 +183,7 @@
 
 void FleetOwner::applyWorkerList(const platform::ReadResult &result)
 {
-    if (!result.isAnswered)
+    if (!result.isSuccess)
         return; // the last list stays in use; calls to workers that have left it fail
     std::vector<WorkerInfo> workers;
     for (const platform::TableRow &row : result.rows) {
--- a/src/node/hostcontroller.cpp
+++ b/src/node/hostcontroller.cpp
@@ -98,7 +98,7 @@
                      if (!self || self->m_isStopped)
                          return;
                      // Retried at once: a failed call usually lasts until its timeout.
-                     if (!result.isAnswered)
+                     if (!result.isSuccess)
                          self->readRecordedCommands();
                      else
                          self->applyRecordedCommands(result);
@@ -143,8 +143,8 @@
     web::json::value record = web::json::value::object();
     for (const auto &[host, when] : m_commandTimes)
         record[host.name()] = web::json::value(when);
-    platform::Transaction transaction{.part = kControlPartition};
-    transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
+    platform::Transaction transaction{.partition = kControlPartition};
+    transaction.preconditions.push_back({kControlTable, kTermKey, m_ownership.term().version});
     transaction.writes.push_back({kControlTable, kHostCommandsKey, record.serialize()});
     m_table.transact(
         transaction, kCommandRecordTimeout,
@@ -353,8 +353,8 @@
         std::size_t index = 0;
         for (const HostId host : maintained)
             list[index++] = web::json::value(host.name());
-        platform::Transaction transaction{.part = kControlPartition};
-        transaction.expected.push_back({kControlTable, kTermKey, m_ownership.term().version});
+        platform::Transaction transaction{.partition = kControlPartition};
+        transaction.preconditions.push_back({kControlTable, kTermKey, m_ownership.term().version});
         transaction.writes.push_back({kControlTable,
                                       std::string(kMaintainedHostsPrefix) + std::to_string(number),
                                       list.serialize()});
--- a/src/node/jobwriter.cpp
+++ b/src/node/jobwriter.cpp
@@ -113,10 +113,10 @@
         batch.push_back(std::move(m_queue.front()));
         m_queue.pop_front();
     }
-    platform::Transaction transaction{.part = m_partition};
+    platform::Transaction transaction{.partition = m_partition};
     for (const PendingJobPtr &pending : batch) {
         const std::string progressKey = jobKey(pending->id, JobRow::Progress);
-        transaction.expected.push_back({kProgressTable, progressKey, 0});
+        transaction.preconditions.push_back({kProgressTable, progressKey, 0});
         transaction.writes.push_back({kJobTable, jobKey(pending->id, JobRow::Spec), pending->spec});
         transaction.writes.push_back({kProgressTable, progressKey, pending->progress});
     }
--- a/src/node/tablewatcher.cpp
+++ b/src/node/tablewatcher.cpp
@@ -57,7 +57,7 @@
         [self = shared_from_this()](platform::ReadResult result) {
             if (self->m_isStopped)
                 return;
-            if (!result.isAnswered) {
+            if (!result.isSuccess) {
                 self->runAfter(kRetryDelay, &TableWatcher::readSnapshot);
                 return;
             }
@@ -65,7 +65,7 @@
             if (snapshot.version == 0) {
                 snapshot.version = result.version;
                 snapshot.clockMs = result.clockMs;
-                snapshot.sentAt = result.sent;
+                snapshot.sentAt = result.sentAt;
             }
             std::move(result.rows.begin(), result.rows.end(), std::back_inserter(snapshot.rows));
             if (result.hasMore && !snapshot.rows.empty()) {
@@ -86,36 +86,36 @@
 
 void TableWatcher::watch()
 {
-    m_table.follow(m_source.table, m_version, m_source.longPoll,
-                   [self = shared_from_this()](platform::ReadResult result) {
-                       if (self->m_isStopped)
-                           return;
-                       if (result.isHistoryGone) {
-                           logWarning("table_history_gone",
-                                      {{"table", self->m_source.table},
-                                       {"version", std::to_string(self->m_version)}});
-                           self->readSnapshot();
-                           return;
-                       }
-                       if (!result.isAnswered) {
-                           if (self->m_isReachable)
-                               logWarning("table_unreachable", {{"table", self->m_source.table}});
-                           self->m_isReachable = false;
-                           self->runAfter(kRetryDelay, &TableWatcher::watch);
-                           return;
-                       }
-                       if (!self->m_isReachable)
-                           logInfo("table_reachable_again", {{"table", self->m_source.table}});
-                       self->m_isReachable = true;
-                       self->m_version = std::max(self->m_version, result.version);
-                       self->m_lastContact = result.sent;
-                       self->m_onUpdate({.rows = std::move(result.rows),
-                                         .version = self->m_version,
-                                         .clockMs = result.clockMs,
-                                         .sentAt = result.sent});
-                       if (!self->m_isStopped)
-                           self->runAfter(self->m_source.spacing, &TableWatcher::watch);
-                   });
+    m_table.watch(m_source.table, m_version, m_source.longPoll,
+                  [self = shared_from_this()](platform::ReadResult result) {
+                      if (self->m_isStopped)
+                          return;
+                      if (result.isHistoryGone) {
+                          logWarning("table_history_gone",
+                                     {{"table", self->m_source.table},
+                                      {"version", std::to_string(self->m_version)}});
+                          self->readSnapshot();
+                          return;
+                      }
+                      if (!result.isSuccess) {
+                          if (self->m_isReachable)
+                              logWarning("table_unreachable", {{"table", self->m_source.table}});
+                          self->m_isReachable = false;
+                          self->runAfter(kRetryDelay, &TableWatcher::watch);
+                          return;
+                      }
+                      if (!self->m_isReachable)
+                          logInfo("table_reachable_again", {{"table", self->m_source.table}});
+                      self->m_isReachable = true;
+                      self->m_version = std::max(self->m_version, result.version);
+                      self->m_lastContact = result.sentAt;
+                      self->m_onUpdate({.rows = std::move(result.rows),
+                                        .version = self->m_version,
+                                        .clockMs = result.clockMs,
+                                        .sentAt = result.sentAt});
+                      if (!self->m_isStopped)
+                          self->runAfter(self->m_source.spacing, &TableWatcher::watch);
+                  });
 }
 
 } // namespace oleanderhall
