--- a/apps/cli/entryclient.cpp
+++ b/apps/cli/entryclient.cpp
@@ -12,7 +12,7 @@
 constexpr std::chrono::seconds kTimeout{15};
 constexpr int kStatusOk = 200;
 
-EntryAnswer call(const std::string &url, const web::http::http_request &request)
+EntryResponse call(const std::string &url, const web::http::http_request &request)
 {
     web::http::client::http_client_config config;
     config.set_timeout(kTimeout);
@@ -21,7 +21,7 @@
     return {response.status_code(), response.extract_json(true).get()};
 }
 
-EntryAnswer getFrom(const std::string &url, const std::string &path)
+EntryResponse getFrom(const std::string &url, const std::string &path)
 {
     web::http::http_request request(web::http::methods::GET);
     request.set_request_uri(path);
@@ -30,7 +30,7 @@
 
 } // namespace
 
-EntryAnswer EntryClient::get(const std::string &path) const
+EntryResponse EntryClient::get(const std::string &path) const
 {
     std::string failures;
     for (const std::string &url : m_urls) {
@@ -43,9 +43,9 @@
     throw std::runtime_error("no entry host answered: " + failures);
 }
 
-EntryAnswer EntryClient::getFromAny(const std::string &path) const
+EntryResponse EntryClient::getFromAny(const std::string &path) const
 {
-    EntryAnswer last;
+    EntryResponse last;
     for (const std::string &url : m_urls) {
         try {
             last = getFrom(url, path);
@@ -60,39 +60,39 @@
     return last;
 }
 
-EntryAnswer EntryClient::getJoined(const std::string &path, const std::string &key,
-                                   const std::string &id, const std::string &preferred) const
+EntryResponse EntryClient::getMerged(const std::string &path, const std::string &key,
+                                     const std::string &id, const std::string &preferred) const
 {
-    EntryAnswer joined;
+    EntryResponse merged;
     std::map<std::string, web::json::value> elements;
     for (const std::string &url : m_urls) {
-        EntryAnswer answer;
+        EntryResponse response;
         try {
-            answer = getFrom(url, path);
+            response = getFrom(url, path);
         } catch (const std::exception &) {
             continue;
         }
-        joined.status = answer.status;
-        if (answer.status != kStatusOk)
-            return answer;
-        for (const web::json::value &element : answer.body.at(key).as_array()) {
+        merged.status = response.status;
+        if (response.status != kStatusOk)
+            return response;
+        for (const web::json::value &element : response.body.at(key).as_array()) {
             const std::string name = element.at(id).as_string();
             if (!elements.contains(name) || element.has_field(preferred))
                 elements[name] = element;
         }
     }
-    if (joined.status == 0)
+    if (merged.status == 0)
         throw std::runtime_error("no entry host answered");
     web::json::value array = web::json::value::array(elements.size());
     std::size_t index = 0;
     for (const auto &[name, element] : elements)
         array[index++] = element;
-    joined.body[key] = array;
-    return joined;
+    merged.body[key] = array;
+    return merged;
 }
 
-EntryAnswer EntryClient::post(const std::string &path, const web::json::value &body,
-                              bool isDryRun) const
+EntryResponse EntryClient::post(const std::string &path, const web::json::value &body,
+                                bool isDryRun) const
 {
     web::http::http_request request(web::http::methods::POST);
     request.set_request_uri(path + (isDryRun ? "?dryRun=1" : ""));
--- a/apps/cli/entryclient.h
+++ b/apps/cli/entryclient.h
@@ -8,7 +8,7 @@
 namespace cli {
 
 /// The answer of an entry host to an operator's call.
-struct EntryAnswer
+struct EntryResponse
 {
     int status = 0;
     web::json::value body;
@@ -23,15 +23,15 @@
         : m_urls(std::move(urls))
     {}
 
-    EntryAnswer get(const std::string &path) const;
+    EntryResponse get(const std::string &path) const;
     /// Asks all entry hosts and returns the first answer with status 200, else the last one.
-    EntryAnswer getFromAny(const std::string &path) const;
+    EntryResponse getFromAny(const std::string &path) const;
     /// Asks all entry hosts and joins the array `key` of their answers, one element for each `id`;
     /// an element that has the member `preferred` goes first. Each entry host knows only why hosts
     /// of its own pools wait.
-    EntryAnswer getJoined(const std::string &path, const std::string &key, const std::string &id,
-                          const std::string &preferred) const;
-    EntryAnswer post(const std::string &path, const web::json::value &body, bool isDryRun) const;
+    EntryResponse getMerged(const std::string &path, const std::string &key, const std::string &id,
+                            const std::string &preferred) const;
+    EntryResponse post(const std::string &path, const web::json::value &body, bool isDryRun) const;
 
 private:
     std::vector<std::string> m_urls;
--- a/apps/cli/main.cpp
+++ b/apps/cli/main.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-constexpr int kFailed = 1;
-constexpr int kUsage = 2;
-constexpr int kFindings = 3;
-constexpr int kConflict = 4;
+constexpr int kExitFailed = 1;
+constexpr int kExitUsage = 2;
+constexpr int kExitFindings = 3;
+constexpr int kExitConflict = 4;
 constexpr int kStatusOk = 200;
 constexpr int kStatusConflict = 409;
 constexpr int kStatusInvalid = 422;
@@ -61,19 +61,20 @@
     if (status == kStatusOk)
         return 0;
     if (status == kStatusConflict)
-        return kConflict;
-    return status == kStatusInvalid || status == kStatusNotFound ? kFindings : kFailed;
+        return kExitConflict;
+    return status == kStatusInvalid || status == kStatusNotFound ? kExitFindings : kExitFailed;
 }
 
-int show(const EntryAnswer &answer, const Arguments &arguments, void (*print)(const value &))
+int printResponse(const EntryResponse &response, const Arguments &arguments,
+                  void (*print)(const value &))
 {
     if (arguments.isJson)
-        std::cout << answer.body.serialize() << "\n";
-    else if (answer.status == kStatusOk)
-        print(answer.body);
+        std::cout << response.body.serialize() << "\n";
+    else if (response.status == kStatusOk)
+        print(response.body);
     else
-        printProblem(answer.body);
-    return exitCodeFor(answer.status);
+        printProblem(response.body);
+    return exitCodeFor(response.status);
 }
 
 int check(const Arguments &arguments)
@@ -99,7 +100,7 @@
     body["rules"] = value::parse(rules.text);
     if (!arguments.reason.empty())
         body["reason"] = value::string(arguments.reason);
-    return show(client.post("/v1/config", body, isDryRun), arguments, printChange);
+    return printResponse(client.post("/v1/config", body, isDryRun), arguments, printChange);
 }
 
 int changeWave(const EntryClient &client, const Arguments &arguments, const std::string &action)
@@ -109,7 +110,8 @@
     body["action"] = value::string(action);
     if (!arguments.reason.empty())
         body["reason"] = value::string(arguments.reason);
-    return show(client.post("/v1/waves", body, arguments.isDryRun), arguments, printChange);
+    return printResponse(client.post("/v1/waves", body, arguments.isDryRun), arguments,
+                         printChange);
 }
 
 int move(const EntryClient &client, const Arguments &arguments)
@@ -119,16 +121,17 @@
     body["pool"] = value::string(arguments.pool);
     if (!arguments.reason.empty())
         body["reason"] = value::string(arguments.reason);
-    return show(client.post("/v1/moves", body, arguments.isDryRun), arguments, printChange);
+    return printResponse(client.post("/v1/moves", body, arguments.isDryRun), arguments,
+                         printChange);
 }
 
 int explain(const EntryClient &client, const Arguments &arguments)
 {
     const std::string path = "/v1/explain/" + arguments.kind + "/" + arguments.name;
     if (arguments.kind != "request")
-        return show(client.get(path), arguments, printExplanation);
+        return printResponse(client.get(path), arguments, printExplanation);
     // Only the entry host that served a request recorded it.
-    return show(client.getFromAny(path), arguments, printRequest);
+    return printResponse(client.getFromAny(path), arguments, printRequest);
 }
 
 /// Adds the subcommands; each sets `run` to what it does.
@@ -157,13 +160,13 @@
 
     app.add_subcommand("status", "Show pools, waves and entry hosts")->callback([&] {
         run = [&](const EntryClient &client) {
-            return show(client.get("/v1/status"), arguments, printStatus);
+            return printResponse(client.get("/v1/status"), arguments, printStatus);
         };
     });
     app.add_subcommand("plan", "Show which hosts change and which wait, and why")->callback([&] {
         run = [&](const EntryClient &client) {
-            return show(client.getJoined("/v1/plan", "steps", "host", "waiting"), arguments,
-                        printPlan);
+            return printResponse(client.getMerged("/v1/plan", "steps", "host", "waiting"),
+                                 arguments, printPlan);
         };
     });
     CLI::App *wave = app.add_subcommand("wave", "Start, pause, resume or stop a maintenance wave");
@@ -208,16 +211,16 @@
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError &error) {
-        return app.exit(error) == 0 ? 0 : kUsage;
+        return app.exit(error) == 0 ? 0 : kExitUsage;
     }
     try {
         return run(EntryClient(arguments.entries));
     } catch (const oleanderhall::InvalidDocument &error) {
         std::cerr << error.findings().text();
-        return kFindings;
+        return kExitFindings;
     } catch (const std::exception &error) {
         std::cerr << "oleanderhall: " << error.what() << "\n";
-        return kFailed;
+        return kExitFailed;
     }
 }
 
--- a/apps/cli/report.cpp
+++ b/apps/cli/report.cpp
@@ -20,7 +20,7 @@
     return member.is_string() ? member.as_string() : member.serialize();
 }
 
-void printCount(const value &patch, const std::string &key, const std::string &what)
+void printNames(const value &patch, const std::string &key, const std::string &what)
 {
     if (!patch.has_array_field(key) || patch.at(key).size() == 0)
         return;
@@ -32,12 +32,12 @@
 
 void printPatch(const value &patch)
 {
-    printCount(patch, "hosts", "hosts set");
-    printCount(patch, "removedHosts", "hosts removed");
-    printCount(patch, "pools", "pools set");
-    printCount(patch, "removedPools", "pools removed");
-    printCount(patch, "services", "services set");
-    printCount(patch, "removedServices", "services removed");
+    printNames(patch, "hosts", "hosts set");
+    printNames(patch, "removedHosts", "hosts removed");
+    printNames(patch, "pools", "pools set");
+    printNames(patch, "removedPools", "pools removed");
+    printNames(patch, "services", "services set");
+    printNames(patch, "removedServices", "services removed");
     if (patch.has_field("wave"))
         std::cout << "  wave rule set\n";
 }
--- a/apps/load/attempt.cpp
+++ b/apps/load/attempt.cpp
@@ -12,8 +12,8 @@
     for (const Attempt &attempt : attempts) {
         file << attempt.operation << " " << attempt.number << " " << attempt.entry << " "
              << attempt.service << " " << attempt.isUnrepeatable << " " << attempt.sentUs << " "
-             << attempt.doneUs << " " << attempt.status << " " << attempt.ran << " "
-             << attempt.reason << " " << attempt.answeredFor << "\n";
+             << attempt.doneUs << " " << attempt.status << " " << attempt.executionStatus << " "
+             << attempt.reason << " " << attempt.respondedRequestId << "\n";
     }
     if (!file)
         throw std::runtime_error("can't write " + path);
@@ -30,7 +30,7 @@
         Attempt attempt;
         fields >> attempt.operation >> attempt.number >> attempt.entry >> attempt.service
             >> attempt.isUnrepeatable >> attempt.sentUs >> attempt.doneUs >> attempt.status
-            >> attempt.ran >> attempt.reason >> attempt.answeredFor;
+            >> attempt.executionStatus >> attempt.reason >> attempt.respondedRequestId;
         if (!fields)
             throw std::runtime_error(
                 std::string("malformed line in ").append(path).append(": ").append(line));
--- a/apps/load/attempt.h
+++ b/apps/load/attempt.h
@@ -18,13 +18,13 @@
     std::int64_t sentUs = 0;
     std::int64_t doneUs = 0;
     int status = 0; ///< Zero when no whole answer came.
-    std::string ran = "-"; ///< "no", "yes" or "unknown" of a refusal.
+    std::string executionStatus = "-"; ///< "no", "yes" or "unknown" of a refusal.
     std::string reason = "-";
-    std::string answeredFor = "-"; ///< The request that the answer says it is for.
+    std::string respondedRequestId = "-"; ///< The request that the answer says it is for.
 
     /// The id under which upstreams record the run of this try.
     std::string requestId() const { return operation + "." + std::to_string(number); }
-    bool wasAnswered() const { return status >= 200 && ran == "-"; }
+    bool isSuccess() const { return status >= 200 && executionStatus == "-"; }
 };
 
 /// Writes attempts as text, one a line.
--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kHttpVersion = 11;
 constexpr std::chrono::milliseconds kReadinessPeriod{200};
-constexpr std::chrono::milliseconds kAnswerMargin{1500}; // beyond the time limit in the request
+constexpr std::chrono::milliseconds kResponseMargin{1500}; // beyond the time limit in the request
 constexpr int kMaxRetryAfterMs = 2000;
 constexpr int kPercent = 100;
 
@@ -64,16 +64,16 @@
     if (response[http::field::content_type] != "application/problem+json")
         return;
     const auto json = web::json::value::parse(response.body());
-    attempt.ran = json.at("ran").as_string();
+    attempt.executionStatus = json.at("ran").as_string();
     attempt.reason = json.at("reason").as_string();
 }
 
-void readAnswer(const Response &response, Attempt &attempt)
+void readSuccess(const Response &response, Attempt &attempt)
 {
     if (response.result() != http::status::ok)
         return;
     const auto json = web::json::value::parse(response.body());
-    attempt.answeredFor = json.at("request").as_string();
+    attempt.respondedRequestId = json.at("request").as_string();
 }
 
 } // namespace
@@ -84,7 +84,7 @@
     , m_random(m_settings.seed)
 {
     for (const std::string &text : m_settings.entries) {
-        auto entry = std::make_unique<Entry>();
+        auto entry = std::make_unique<EntryHost>();
         entry->name = text;
         entry->address = endpointFrom(text);
         m_entries.push_back(std::move(entry));
@@ -117,22 +117,22 @@
         timer.expires_at(due);
         co_await timer.async_wait(asio::use_awaitable);
         const Operation operation = nextOperation();
-        ++m_open;
+        ++m_openOperations;
         asio::co_spawn(m_io, perform(operation, 0), asio::detached);
         const bool isTwin = operation.isUnrepeatable
-            && static_cast<int>(m_random() % kPercent) < m_settings.twinPercent;
+            && static_cast<int>(m_random() % kPercent) < m_settings.duplicatePercent;
         if (isTwin) {
             constexpr int kTwinNumber = 100; // so that its tries have ids of their own
-            ++m_open;
+            ++m_openOperations;
             asio::co_spawn(m_io, perform(operation, kTwinNumber), asio::detached);
         }
     }
-    while (m_open > 0)
+    while (m_openOperations > 0)
         co_await pause(std::chrono::milliseconds(20));
     m_isDone = true;
 }
 
-asio::awaitable<void> Callers::watchReadiness(Entry &entry)
+asio::awaitable<void> Callers::watchReadiness(EntryHost &entry)
 {
     while (!m_isDone) {
         try {
@@ -150,17 +150,19 @@
 
 asio::awaitable<void> Callers::perform(Operation operation, int firstNumber)
 {
-    for (int tries = 0; tries < m_settings.maxTries; ++tries) {
-        const Attempt attempt = co_await tryOnce(operation, firstNumber + tries, pickEntry());
+    for (int tries = 0; tries < m_settings.maxAttempts; ++tries) {
+        const Attempt attempt = co_await sendAttempt(operation, firstNumber + tries,
+                                                     pickEntryHost());
         record(attempt);
-        if (attempt.wasAnswered())
+        if (attempt.isSuccess())
             break;
         co_await pause(std::chrono::milliseconds(200 + static_cast<int>(m_random() % 300)));
     }
-    --m_open;
+    --m_openOperations;
 }
 
-asio::awaitable<Attempt> Callers::tryOnce(const Operation &operation, int number, Entry &entry)
+asio::awaitable<Attempt> Callers::sendAttempt(const Operation &operation, int number,
+                                              EntryHost &entry)
 {
     Attempt attempt{.operation = operation.id,
                     .number = number,
@@ -181,11 +183,11 @@
     }
     attempt.sentUs = monotonicUs();
     try {
-        const auto limit = std::chrono::milliseconds(m_settings.timeoutMs) + kAnswerMargin;
+        const auto limit = std::chrono::milliseconds(m_settings.timeoutMs) + kResponseMargin;
         const Response response = co_await exchange(entry.address, std::move(request), limit);
         attempt.status = response.result_int();
         readRefusal(response, attempt);
-        readAnswer(response, attempt);
+        readSuccess(response, attempt);
     } catch (const std::exception &error) {
         attempt.reason = "no_answer";
     }
@@ -211,9 +213,9 @@
     return operation;
 }
 
-Callers::Entry &Callers::pickEntry()
+Callers::EntryHost &Callers::pickEntryHost()
 {
-    std::vector<Entry *> ready;
+    std::vector<EntryHost *> ready;
     for (const auto &entry : m_entries) {
         if (entry->isReady)
             ready.push_back(entry.get());
--- a/apps/load/callers.h
+++ b/apps/load/callers.h
@@ -25,10 +25,10 @@
     double ratePerSecond = 100;
     int seconds = 10;
     int unrepeatablePercent = 30;
-    int twinPercent = 5; ///< Unrepeatable operations sent to two entry hosts at once.
+    int duplicatePercent = 5; ///< Unrepeatable operations sent to two entry hosts at once.
     int workMs = 5;
     int timeoutMs = 2000;
-    int maxTries = 3;
+    int maxAttempts = 3;
     std::uint32_t seed = 1;
 };
 
@@ -44,7 +44,7 @@
     std::vector<Attempt> run();
 
 private:
-    struct Entry
+    struct EntryHost
     {
         std::string name;
         boost::asio::ip::tcp::endpoint address;
@@ -60,22 +60,23 @@
     };
 
     boost::asio::awaitable<void> generate();
-    boost::asio::awaitable<void> watchReadiness(Entry &entry);
+    boost::asio::awaitable<void> watchReadiness(EntryHost &entry);
     boost::asio::awaitable<void> perform(Operation operation, int firstNumber);
-    boost::asio::awaitable<Attempt> tryOnce(const Operation &operation, int number, Entry &entry);
+    boost::asio::awaitable<Attempt> sendAttempt(const Operation &operation, int number,
+                                                EntryHost &entry);
     Operation nextOperation();
-    Entry &pickEntry();
+    EntryHost &pickEntryHost();
     void record(const Attempt &attempt);
 
     CallerSettings m_settings;
     const oleanderhall::Register &m_config;
     boost::asio::io_context m_io;
-    std::vector<std::unique_ptr<Entry>> m_entries;
+    std::vector<std::unique_ptr<EntryHost>> m_entries;
     std::vector<const oleanderhall::ServiceRule *> m_services;
     std::mt19937 m_random;
     std::uint64_t m_lastOperation = 0;
     std::string m_runName;
-    int m_open = 0;
+    int m_openOperations = 0;
     bool m_isDone = false;
     std::vector<Attempt> m_attempts;
 };
--- a/apps/load/figures.cpp
+++ b/apps/load/figures.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void printFigures(const std::vector<Attempt> &attempts)
+void printStatistics(const std::vector<Attempt> &attempts)
 {
     std::map<std::string, int> refusals;
     std::vector<std::int64_t> answered;
@@ -34,13 +34,13 @@
         operations.insert(attempt.operation);
         if (attempt.status == 0) {
             ++noAnswer;
-        } else if (attempt.wasAnswered()) {
+        } else if (attempt.isSuccess()) {
             answered.push_back(attempt.doneUs - attempt.sentUs);
             done.insert(attempt.operation);
         } else {
             ++refusals[attempt.reason];
             refused.push_back(attempt.doneUs - attempt.sentUs);
-            unknown += attempt.ran == "unknown" ? 1 : 0;
+            unknown += attempt.executionStatus == "unknown" ? 1 : 0;
         }
     }
     std::sort(answered.begin(), answered.end());
--- a/apps/load/figures.h
+++ b/apps/load/figures.h
@@ -5,6 +5,6 @@
 namespace load {
 
 /// Prints requests by outcome, refusals by reason and latency percentiles.
-void printFigures(const std::vector<Attempt> &attempts);
+void printStatistics(const std::vector<Attempt> &attempts);
 
 } // namespace load
--- a/apps/load/historycheck.cpp
+++ b/apps/load/historycheck.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::int64_t kNewWorkBoundUs = 3000000; // 3 s after the first entry host could know
+constexpr std::int64_t kStartDelayLimitUs = 3000000; // 3 s after the first entry host could know
 constexpr double kMicrosPerSecond = 1e6;
 constexpr int kMaxPrinted = 10;
 
@@ -22,9 +22,9 @@
 
 void checkRequests(const Records &records, CheckReport &report)
 {
-    std::map<std::string, std::vector<const Run *>> runsOfOperation;
+    std::map<std::string, std::vector<const Execution *>> runsOfOperation;
     std::map<std::string, int> runsOfRequest;
-    for (const Run &run : records.runs) {
+    for (const Execution &run : records.executions) {
         runsOfOperation[operationOf(run.requestId)].push_back(&run);
         ++runsOfRequest[run.requestId];
     }
@@ -32,24 +32,24 @@
     for (const Attempt &attempt : records.attempts) {
         const auto &runs = runsOfOperation[attempt.operation];
         if (attempt.isUnrepeatable && runs.size() > 1 && judged.insert(attempt.operation).second) {
-            ++report.doubleRuns;
+            ++report.doubleExecutions;
             report.violations.push_back("ran " + std::to_string(runs.size())
                                         + " times: " + runs[0]->requestId + " on " + runs[0]->host
                                         + ", " + runs[1]->requestId + " on " + runs[1]->host);
         }
-        if (attempt.ran == "no" && runsOfRequest[attempt.requestId()] > 0) {
-            ++report.falseNotRun;
+        if (attempt.executionStatus == "no" && runsOfRequest[attempt.requestId()] > 0) {
+            ++report.falseNotExecuted;
             report.violations.push_back("refused as not run, but ran: " + attempt.requestId()
                                         + " reason " + attempt.reason);
         }
-        if (attempt.wasAnswered() && attempt.answeredFor != "-"
-            && operationOf(attempt.answeredFor) != attempt.operation) {
-            ++report.wrongAnswers;
-            report.violations.push_back("answer of " + attempt.answeredFor + " went to "
+        if (attempt.isSuccess() && attempt.respondedRequestId != "-"
+            && operationOf(attempt.respondedRequestId) != attempt.operation) {
+            ++report.wrongResponses;
+            report.violations.push_back("answer of " + attempt.respondedRequestId + " went to "
                                         + attempt.requestId());
         }
-        if (attempt.answeredFor != "-" && runs.empty()) {
-            ++report.lostAnswers;
+        if (attempt.respondedRequestId != "-" && runs.empty()) {
+            ++report.responsesWithoutExecution;
             report.violations.push_back("answered without a run: " + attempt.requestId());
         }
     }
@@ -64,8 +64,8 @@
         , m_report(report)
         , m_isTimed(isTimed)
     {
-        for (const Run &run : records.runs)
-            m_runsOfHost[run.host].push_back(&run);
+        for (const Execution &run : records.executions)
+            m_executionsOfHost[run.host].push_back(&run);
     }
 
     void check()
@@ -86,15 +86,15 @@
                 return;
             }
             for (const HostRecord &known : before)
-                checkStep(entry, known, *m_state.record(known.id));
+                checkHostChange(entry, known, *m_state.record(known.id));
             checkWaves(entry);
             if (m_waveStartsUs.empty())
                 continue;
-            bufferSum += buffer();
+            bufferSum += bufferHostCount();
             ++samples;
         }
         if (samples > 0)
-            m_report.bufferHosts = bufferSum / samples;
+            m_report.meanBufferHosts = bufferSum / samples;
     }
 
 private:
@@ -104,7 +104,7 @@
         return found == m_records.commitTimesUs.end() ? 0 : found->second;
     }
 
-    void checkStep(const LogEntry &entry, const HostRecord &before, const HostRecord &after)
+    void checkHostChange(const LogEntry &entry, const HostRecord &before, const HostRecord &after)
     {
         if (before.pool != after.pool) {
             ++m_report.moves;
@@ -118,7 +118,7 @@
             && after.state == HostState::Draining;
         if (!startsDrain)
             return;
-        checkLateWork(entry, after);
+        checkLateStarts(entry, after);
         if (after.disruption != Disruption::Leave)
             checkBudget(entry, after);
     }
@@ -152,18 +152,18 @@
                                       + std::to_string(unavailable) + " unavailable");
     }
 
-    void checkLateWork(const LogEntry &entry, const HostRecord &host)
+    void checkLateStarts(const LogEntry &entry, const HostRecord &host)
     {
         const std::int64_t drainedUs = timeOf(entry);
-        const std::int64_t againUs = nextJoinUs(entry, host.id);
-        for (const Run *run : m_runsOfHost[host.id.name()]) {
+        const std::int64_t againUs = nextJoiningUs(entry, host.id);
+        for (const Execution *run : m_executionsOfHost[host.id.name()]) {
             if (run->startUs <= drainedUs || (againUs > 0 && run->startUs >= againUs))
                 continue;
             const std::int64_t late = run->startUs - drainedUs;
-            m_report.lastNewWorkUs = std::max(m_report.lastNewWorkUs, late);
-            if (late <= kNewWorkBoundUs)
+            m_report.maxStartDelayUs = std::max(m_report.maxStartDelayUs, late);
+            if (late <= kStartDelayLimitUs)
                 continue;
-            ++m_report.lateWork;
+            ++m_report.lateStarts;
             if (!m_isTimed)
                 continue;
             m_report.violations.push_back(run->requestId + " started on " + run->host + " "
@@ -171,7 +171,7 @@
         }
     }
 
-    std::int64_t nextJoinUs(const LogEntry &drain, HostId host) const
+    std::int64_t nextJoiningUs(const LogEntry &drain, HostId host) const
     {
         for (const LogEntry &entry : m_records.log) {
             if (entry.sequence <= drain.sequence)
@@ -202,7 +202,7 @@
         }
     }
 
-    double buffer() const
+    double bufferHostCount() const
     {
         int spare = 0;
         for (const auto &[id, record] : m_state.hosts())
@@ -214,7 +214,7 @@
     CheckReport &m_report;
     bool m_isTimed;
     FleetState m_state;
-    std::map<std::string, std::vector<const Run *>> m_runsOfHost;
+    std::map<std::string, std::vector<const Execution *>> m_executionsOfHost;
     std::map<WaveId, std::int64_t> m_waveStartsUs;
 };
 
@@ -230,18 +230,19 @@
 
 bool printReport(const CheckReport &report)
 {
-    std::cout << "double executions      " << report.doubleRuns << "\n"
-              << "false 'not run'        " << report.falseNotRun << "\n"
-              << "wrong answers          " << report.wrongAnswers << "\n"
-              << "answers without a run  " << report.lostAnswers << "\n"
+    std::cout << "double executions      " << report.doubleExecutions << "\n"
+              << "false 'not run'        " << report.falseNotExecuted << "\n"
+              << "wrong answers          " << report.wrongResponses << "\n"
+              << "answers without a run  " << report.responsesWithoutExecution << "\n"
               << "budget violations      " << report.budgetViolations << "\n"
               << "pool violations        " << report.poolViolations << "\n"
-              << "late new work          " << report.lateWork << " (last "
-              << static_cast<double>(report.lastNewWorkUs) / kMicrosPerSecond
+              << "late new work          " << report.lateStarts << " (last "
+              << static_cast<double>(report.maxStartDelayUs) / kMicrosPerSecond
               << " s after a drain, bound 3 s)\n"
               << "moves                  " << report.moves << "\n"
               << "roll-out time          " << report.rollOutSeconds << " s\n"
-              << "buffer cost            " << report.bufferHosts << " hosts without an instance\n";
+              << "buffer cost            " << report.meanBufferHosts
+              << " hosts without an instance\n";
     int printed = 0;
     for (const std::string &violation : report.violations) {
         if (++printed > kMaxPrinted)
--- a/apps/load/historycheck.h
+++ b/apps/load/historycheck.h
@@ -11,7 +11,7 @@
 namespace load {
 
 /// One run of a request as an upstream recorded it.
-struct Run
+struct Execution
 {
     std::string requestId;
     std::string host;
@@ -24,7 +24,7 @@
 struct Records
 {
     std::vector<Attempt> attempts;
-    std::vector<Run> runs;
+    std::vector<Execution> executions;
     std::vector<oleanderhall::LogEntry> log;
     std::map<std::string, std::int64_t> commitTimesUs; ///< By the entry's operation.
 };
@@ -33,18 +33,18 @@
 struct CheckReport
 {
     std::vector<std::string> violations;
-    int doubleRuns = 0;
-    int falseNotRun = 0;
-    int wrongAnswers = 0;
-    int lostAnswers = 0; ///< Answered, but no upstream recorded a run.
+    int doubleExecutions = 0;
+    int falseNotExecuted = 0;
+    int wrongResponses = 0;
+    int responsesWithoutExecution = 0; ///< Answered, but no upstream recorded a run.
     int budgetViolations = 0;
     int poolViolations = 0;
-    int lateWork = 0; ///< Runs started at a leaving upstream after the bound.
+    int lateStarts = 0; ///< Runs started at a leaving upstream after the bound.
     int cutOff = 0; ///< Attempts without a whole answer at a host that stopped by plan.
-    std::int64_t lastNewWorkUs = 0; ///< The latest start after a drain was committed.
+    std::int64_t maxStartDelayUs = 0; ///< The latest start after a drain was committed.
     int moves = 0;
     double rollOutSeconds = 0;
-    double bufferHosts = 0; ///< Mean serving hosts without an instance, from the first wave on.
+    double meanBufferHosts = 0; ///< Mean serving hosts without an instance, from the first wave on.
 };
 
 /// Checks every promise that the records can show to be broken.
--- a/apps/load/main.cpp
+++ b/apps/load/main.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr int kUsage = 2;
+constexpr int kExitUsage = 2;
 constexpr oleanderhall::Millis kTimeout{10000};
 
 std::string readFile(const std::string &path)
@@ -39,11 +39,12 @@
     return client.request(web::http::methods::GET).get().extract_utf8string(true).get();
 }
 
-std::vector<Run> fetchRuns(const std::string &url)
+std::vector<Execution> fetchExecutions(const std::string &url)
 {
     std::istringstream lines(fetch(url));
-    std::vector<Run> runs;
-    for (Run run; lines >> run.requestId >> run.host >> run.service >> run.startUs >> run.endUs;)
+    std::vector<Execution> runs;
+    for (Execution run;
+         lines >> run.requestId >> run.host >> run.service >> run.startUs >> run.endUs;)
         runs.push_back(run);
     return runs;
 }
@@ -72,7 +73,7 @@
         const std::vector<Attempt> attempts = readHistory(history);
         records.attempts.insert(records.attempts.end(), attempts.begin(), attempts.end());
     }
-    records.runs = fetchRuns(workers + "/executions");
+    records.executions = fetchExecutions(workers + "/executions");
     records.log = fetchLog(platform + "/", platform + "/objects");
     const auto journal = web::json::value::parse(fetch(platform + "/journal"));
     for (const auto &commit : journal.as_array()) {
@@ -106,10 +107,10 @@
     run->add_option("--rate", settings.ratePerSecond, "Operations a second");
     run->add_option("--seconds", settings.seconds, "Length of the run");
     run->add_option("--unrepeatable", settings.unrepeatablePercent, "Unrepeatable calls, percent");
-    run->add_option("--twins", settings.twinPercent, "Calls sent twice at once, percent");
+    run->add_option("--twins", settings.duplicatePercent, "Calls sent twice at once, percent");
     run->add_option("--work-ms", settings.workMs, "Time that a request works");
     run->add_option("--timeout-ms", settings.timeoutMs, "Time limit of a request");
-    run->add_option("--tries", settings.maxTries, "Tries of an operation");
+    run->add_option("--tries", settings.maxAttempts, "Tries of an operation");
     run->add_option("--seed", settings.seed, "Seed of the mix");
     bool isUntimed = false;
     CLI::App *check = app.add_subcommand("check", "Check what was recorded");
@@ -120,7 +121,7 @@
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError &error) {
-        return app.exit(error) == 0 ? 0 : load::kUsage;
+        return app.exit(error) == 0 ? 0 : load::kExitUsage;
     }
     try {
         if (check->parsed()) {
@@ -132,7 +133,7 @@
         const auto attempts = load::Callers(settings, config).run();
         if (!history.empty())
             load::writeHistory(history, attempts);
-        load::printFigures(attempts);
+        load::printStatistics(attempts);
         return 0;
     } catch (const std::exception &error) {
         std::cerr << "oleanderhall-load: " << error.what() << "\n";
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -39,7 +39,7 @@
 }
 
 template <typename Work>
-double microsecondsOf(int repeats, const Work &work)
+double meanMicroseconds(int repeats, const Work &work)
 {
     const auto start = std::chrono::steady_clock::now();
     for (int count = 0; count < repeats; ++count)
@@ -97,16 +97,16 @@
 
 Observations observe(const FleetState &state, PoolId pool)
 {
-    Observations seen;
+    Observations observations;
     for (const HostId host : state.hostsOf(pool)) {
         HostObservation observation{.health = Health::Healthy, .workerEpoch = {1}};
         observation.observedAt = state.sequence();
         observation.activeInstances = 1;
         for (const InstanceRecord &instance : state.record(host)->instances)
             observation.running.push_back(instance.service);
-        seen.hosts.emplace(host, observation);
+        observations.hosts.emplace(host, observation);
     }
-    return seen;
+    return observations;
 }
 
 void measure(const Size &size)
@@ -129,20 +129,21 @@
         return entry;
     };
     const std::string entryText = toJson(entryAt(0)).serialize();
-    const double applyUs = microsecondsOf(kRepeats, [&](int count) {
+    const double applyUs = meanMicroseconds(kRepeats, [&](int count) {
         const LogEntry entry = parseLogEntry(toJson(entryAt(count)).serialize());
         state.apply(entry);
     });
     const PoolId pool = state.config().pools.begin()->first;
-    const Observations seen = observe(state, pool);
+    const Observations observations = observe(state, pool);
     PoolPlanner planner(pool);
-    const double decideUs = microsecondsOf(
-        kRepeats, [&](int) { planner.decide(state, seen, std::chrono::steady_clock::now()); });
+    const double decideUs = meanMicroseconds(kRepeats, [&](int) {
+        planner.decide(state, observations, std::chrono::steady_clock::now());
+    });
     std::vector<EntryId> live;
     live.reserve(static_cast<std::size_t>(size.zones) * 2);
     for (int entry = 0; entry < size.zones * 2; ++entry)
         live.push_back(EntryId("entry-" + std::to_string(entry)));
-    const double ownersUs = microsecondsOf(kRepeats, [&](int) {
+    const double ownersUs = meanMicroseconds(kRepeats, [&](int) {
         for (const auto &[id, rule] : state.config().pools)
             ownerOf(id, live);
     });
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Millis kCallTime{3000}; // a caller's usual time limit
-constexpr Millis kPollEvery{400};
+constexpr Millis kCallTimeout{3000}; // a caller's usual time limit
+constexpr Millis kPollInterval{400};
 constexpr Millis kRetryDelay{300};
-constexpr int kSubmitTries = 6;
+constexpr int kMaxSubmitAttempts = 6;
 constexpr std::size_t kConnectionsPerNode = 16;
 constexpr int kOk = 200;
 constexpr int kGone = 410;
@@ -25,21 +25,21 @@
 
 } // namespace
 
-Callers::Callers(asio::io_context &io, Deployment &deployment, Promises &promises,
+Callers::Callers(asio::io_context &io, Deployment &deployment, InvariantChecker &promises,
                  std::uint32_t seed)
     : m_io(io)
     , m_deployment(deployment)
-    , m_promises(promises)
+    , m_checker(promises)
     , m_random(seed)
 {
     for (const Deployment::Node &node : deployment.nodes())
-        m_clients[node.callers] = std::make_shared<HttpClient>(io, node.callers,
-                                                               kConnectionsPerNode);
+        m_clients[node.callerAddress] = std::make_shared<HttpClient>(io, node.callerAddress,
+                                                                     kConnectionsPerNode);
 }
 
 void Callers::start(double perSecond, Millis time)
 {
-    asio::co_spawn(m_io, arrive(perSecond, time), asio::detached);
+    asio::co_spawn(m_io, generateJobs(perSecond, time), asio::detached);
 }
 
 asio::awaitable<void> Callers::wait(Millis time)
@@ -48,14 +48,14 @@
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<void> Callers::arrive(double perSecond, Millis time)
+asio::awaitable<void> Callers::generateJobs(double perSecond, Millis time)
 {
     constexpr double kMilli = 1000;
     const Instant end = std::chrono::steady_clock::now() + time;
     std::exponential_distribution<double> gap(perSecond / kMilli);
     while (std::chrono::steady_clock::now() < end) {
         co_await wait(Millis(static_cast<int>(gap(m_random)) + 1));
-        asio::co_spawn(m_io, live(makeJob()), asio::detached);
+        asio::co_spawn(m_io, runCaller(makeJob()), asio::detached);
     }
 }
 
@@ -84,30 +84,30 @@
                                           std::string body)
 {
     const auto &nodes = m_deployment.nodes();
-    const std::string &node = nodes[m_random() % nodes.size()].callers;
+    const std::string &node = nodes[m_random() % nodes.size()].callerAddress;
     auto shot = std::make_shared<OneShot<HttpAnswer>>(m_io.get_executor());
     m_clients.at(node)->send(
         {.method = method,
          .target = job.queue.prefix + textOf(job.id),
          .headers = {{"Host", job.queue.host}, {"Content-Type", "application/json"}},
          .body = std::move(body),
-         .timeout = kCallTime},
+         .timeout = kCallTimeout},
         [shot](HttpAnswer answer) { shot->set(std::move(answer)); });
-    auto answer = co_await shot->wait(std::chrono::steady_clock::now() + 2 * kCallTime);
+    auto answer = co_await shot->wait(std::chrono::steady_clock::now() + 2 * kCallTimeout);
     co_return answer ? std::move(*answer) : HttpAnswer{};
 }
 
 /// Hands the job in until it is accepted. Returns whether it was.
 asio::awaitable<bool> Callers::submit(const JobSpec &job)
 {
-    m_promises.submitted(job);
+    m_checker.onSubmitted(job);
     bool mayBeStored = false;
-    for (int tries = 0; tries < kSubmitTries; ++tries) {
+    for (int tries = 0; tries < kMaxSubmitAttempts; ++tries) {
         const HttpAnswer answer = co_await call("POST", job, platform::encodeSubmission(job));
         const bool isAnswered = answer.outcome == HttpAnswer::Outcome::Answered;
         if (isAnswered && answer.status == kOk) {
             ++m_accepted;
-            m_promises.accepted(job.id);
+            m_checker.onAccepted(job.id);
             co_return true;
         }
         const bool isUnknown = isAnswered
@@ -118,20 +118,20 @@
     }
     ++(mayBeStored ? m_unknown : m_refused);
     if (!mayBeStored)
-        m_promises.refused(job.id);
+        m_checker.onRefused(job.id);
     co_return false;
 }
 
-asio::awaitable<void> Callers::live(JobSpec job)
+asio::awaitable<void> Callers::runCaller(JobSpec job)
 {
     if (!co_await submit(job))
         co_return;
     const bool wantsCancel = m_random() % 12 == 0;
     int polls = 0;
     for (;;) {
-        co_await wait(kPollEvery);
+        co_await wait(kPollInterval);
         if (wantsCancel && ++polls == 2) {
-            m_promises.cancelSent(job.id);
+            m_checker.onCancelSent(job.id);
             for (;;) {
                 const HttpAnswer answer = co_await call("DELETE", job, "");
                 if (answer.outcome == HttpAnswer::Outcome::Answered
@@ -146,7 +146,7 @@
             continue;
         const auto state = answer.status == kGone ? std::nullopt
                                                   : platform::decodeState(answer.body);
-        m_promises.told(job.id, state);
+        m_checker.onStateReported(job.id, state);
         if (!state || isFinal(*state))
             co_return;
     }
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "deployment.h"
-#include "promises.h"
+#include "invariantchecker.h"
 
 #include "../src/http/httpclient.h"
 
@@ -21,7 +21,7 @@
 class Callers
 {
 public:
-    Callers(boost::asio::io_context &io, Deployment &deployment, Promises &promises,
+    Callers(boost::asio::io_context &io, Deployment &deployment, InvariantChecker &promises,
             std::uint32_t seed);
 
     /// Hands in `perSecond` jobs a second for `time`, each with its own caller until it is over.
@@ -31,8 +31,8 @@
     std::size_t unknown() const { return m_unknown; }
 
 private:
-    boost::asio::awaitable<void> arrive(double perSecond, Millis time);
-    boost::asio::awaitable<void> live(JobSpec job);
+    boost::asio::awaitable<void> generateJobs(double perSecond, Millis time);
+    boost::asio::awaitable<void> runCaller(JobSpec job);
     boost::asio::awaitable<bool> submit(const JobSpec &job);
     boost::asio::awaitable<HttpAnswer> call(const std::string &method, const JobSpec &job,
                                             std::string body);
@@ -41,7 +41,7 @@
 
     boost::asio::io_context &m_io;
     Deployment &m_deployment;
-    Promises &m_promises;
+    InvariantChecker &m_checker;
     std::mt19937 m_random;
     std::map<std::string, std::shared_ptr<HttpClient>> m_clients; ///< By the node's address.
     std::size_t m_accepted = 0;
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr Millis kTick{10};
-constexpr Millis kEntryLapse{1500}; // until a crashed worker's entry is gone
-constexpr int kTablePort = 0; // ports count from the first of the deployment
-constexpr int kTableProxies = 10;
-constexpr int kNodePorts = 20; // three for each node
+constexpr Millis kEntryExpiry{1500}; // until a crashed worker's entry is gone
+constexpr int kTablePortOffset = 0; // ports count from the first of the deployment
+constexpr int kTableProxyPortOffset = 10;
+constexpr int kNodePortOffset = 20; // three for each node
 constexpr int kPortsPerNode = 3;
-constexpr int kWorkerPorts = 50; // two for each worker
+constexpr int kWorkerPortOffset = 50; // two for each worker
 constexpr const char *kAddress = "127.0.0.1";
 
-CallerLimits limits()
+CallerLimits callerLimits()
 {
     CallerLimits result;
     result.bodyBytes = 2UL << 20;
@@ -26,7 +26,7 @@
     return result;
 }
 
-QueueConfig queueOf(const char *name, const char *pool)
+QueueConfig makeQueue(const char *name, const char *pool)
 {
     return {.name = name,
             .host = "soak.example",
@@ -46,10 +46,10 @@
 } // namespace
 
 Deployment::Deployment(boost::asio::io_context &io, const DeploymentSettings &settings,
-                       Promises &promises)
+                       InvariantChecker &promises)
     : m_io(io)
     , m_settings(settings)
-    , m_promises(promises)
+    , m_checker(promises)
     , m_table(io, settings.seed)
     , m_timer(io)
 {
@@ -57,22 +57,23 @@
         return static_cast<std::uint16_t>(settings.firstPort + offset);
     };
     m_tableServer = std::make_shared<CallerServer>(
-        io, limits(), [this](HttpRequest &request) { return m_table.answer(request); }, m_metrics);
-    m_tableServer->start(kAddress, port(kTablePort));
+        io, callerLimits(), [this](HttpRequest &request) { return m_table.answer(request); },
+        m_metrics);
+    m_tableServer->start(kAddress, port(kTablePortOffset));
     m_config = {.version = {1},
-                .queues = {queueOf("alpha", "pool-a"), queueOf("beta", "pool-b")},
+                .queues = {makeQueue("alpha", "pool-a"), makeQueue("beta", "pool-b")},
                 .pools = {{.service = ServiceId("pool-a")}, {.service = ServiceId("pool-b")}}};
     publishConfig();
     m_workers.resize(static_cast<std::size_t>(settings.workers));
     for (int index = 0; index < settings.workers; ++index) {
         Worker &worker = m_workers[static_cast<std::size_t>(index)];
-        worker.port = port(kWorkerPorts + 2 * index);
-        const std::uint16_t target = port(kWorkerPorts + 2 * index + 1);
+        worker.port = port(kWorkerPortOffset + 2 * index);
+        const std::uint16_t target = port(kWorkerPortOffset + 2 * index + 1);
         worker.proxy = std::make_unique<FaultProxy>(io, worker.port, target);
         worker.server = std::make_shared<CallerServer>(
-            io, limits(),
+            io, callerLimits(),
             [this, index](HttpRequest &request) {
-                return m_workers[static_cast<std::size_t>(index)].life->answer(request);
+                return m_workers[static_cast<std::size_t>(index)].incarnation->answer(request);
             },
             m_metrics);
         worker.server->start(kAddress, target);
@@ -80,17 +81,17 @@
     }
     for (int index = 0; index < settings.nodes; ++index) {
         Node node;
-        node.table = std::make_unique<FaultProxy>(io, port(kTableProxies + index),
-                                                  port(kTablePort));
-        const int first = port(kNodePorts + kPortsPerNode * index);
+        node.tableProxy = std::make_unique<FaultProxy>(io, port(kTableProxyPortOffset + index),
+                                                       port(kTablePortOffset));
+        const int first = port(kNodePortOffset + kPortsPerNode * index);
         const std::string name = "node-" + std::to_string(index);
-        node.callers = addressAt(first);
+        node.callerAddress = addressAt(first);
         node.process = std::make_unique<NodeProcess>(
             std::vector<std::string>{
-                settings.node, "--id", name, "--zone", "z" + std::to_string(index % 2), "--callers",
-                node.callers, "--health", addressAt(first + 1), "--metrics", addressAt(first + 2),
-                "--table", addressAt(port(kTableProxies + index))},
-            settings.logs + "/" + name + ".log");
+                settings.nodeProgram, "--id", name, "--zone", "z" + std::to_string(index % 2),
+                "--callers", node.callerAddress, "--health", addressAt(first + 1), "--metrics",
+                addressAt(first + 2), "--table", addressAt(port(kTableProxyPortOffset + index))},
+            settings.logFolder + "/" + name + ".log");
         node.process->start();
         m_nodes.push_back(std::move(node));
     }
@@ -102,7 +103,7 @@
 void Deployment::tick()
 {
     for (Worker &worker : m_workers)
-        worker.life->tick();
+        worker.incarnation->tick();
     m_timer.expires_after(kTick);
     m_timer.async_wait([this](const boost::system::error_code &failed) {
         if (!failed)
@@ -127,11 +128,12 @@
 void Deployment::startWorker(int index)
 {
     Worker &worker = m_workers[static_cast<std::size_t>(index)];
-    if (worker.life && !worker.life->isOver())
+    if (worker.incarnation && !worker.incarnation->isOver())
         crashWorker(index); // an earlier fault had begun this life
-    ++worker.lives;
-    const std::string id = "w" + std::to_string(index) + "-" + std::to_string(worker.lives);
-    worker.life = std::make_shared<platform::StandinWorker>(m_io, id, m_promises);
+    ++worker.incarnationCount;
+    const std::string id = "w" + std::to_string(index) + "-"
+        + std::to_string(worker.incarnationCount);
+    worker.incarnation = std::make_shared<platform::StandinWorker>(m_io, id, m_checker);
     const WorkerInfo report{.id = WorkerId(id),
                             .pool = ServiceId(index % 2 == 0 ? "pool-a" : "pool-b"),
                             .address = addressAt(worker.port),
@@ -143,15 +145,16 @@
 void Deployment::crashWorker(int index)
 {
     Worker &worker = m_workers[static_cast<std::size_t>(index)];
-    if (worker.life->isOver())
+    if (worker.incarnation->isOver())
         return;
-    worker.life->crash();
-    worker.proxy->reset();
-    m_past.push_back(worker.life);
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, kEntryLapse);
-    timer->async_wait([this, timer, id = worker.life->id()](const boost::system::error_code &) {
-        m_table.drop(platform::kWorkerTable, id);
-    });
+    worker.incarnation->crash();
+    worker.proxy->resetConnections();
+    m_endedIncarnations.push_back(worker.incarnation);
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_io, kEntryExpiry);
+    timer->async_wait(
+        [this, timer, id = worker.incarnation->id()](const boost::system::error_code &) {
+            m_table.drop(platform::kWorkerTable, id);
+        });
 }
 
 void Deployment::writeDamagedRow()
--- a/soak/deployment.h
+++ b/soak/deployment.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "faultproxy.h"
+#include "invariantchecker.h"
 #include "nodeprocess.h"
-#include "promises.h"
 
 #include "../platform/standin/standintable.h"
 #include "../platform/standin/standinworker.h"
@@ -24,8 +24,8 @@
 /// Internal: where a deployment lies on this machine, and how large it is.
 struct DeploymentSettings
 {
-    std::string node; ///< The program of the fleet nodes.
-    std::string logs; ///< The folder for their logs.
+    std::string nodeProgram; ///< The program of the fleet nodes.
+    std::string logFolder; ///< The folder for their logs.
     std::uint16_t firstPort = 23000; ///< Of about a hundred that follow one another.
     int nodes = 4;
     int workers = 8;
@@ -37,22 +37,23 @@
 class Deployment
 {
 public:
-    Deployment(boost::asio::io_context &io, const DeploymentSettings &settings, Promises &promises);
+    Deployment(boost::asio::io_context &io, const DeploymentSettings &settings,
+               InvariantChecker &promises);
     ~Deployment();
 
     struct Node
     {
         std::unique_ptr<NodeProcess> process;
-        std::unique_ptr<FaultProxy> table; ///< Between the node and the table.
-        std::string callers; ///< IP:PORT.
+        std::unique_ptr<FaultProxy> tableProxy; ///< Between the node and the table.
+        std::string callerAddress; ///< IP:PORT.
     };
     struct Worker
     {
-        std::shared_ptr<platform::StandinWorker> life;
+        std::shared_ptr<platform::StandinWorker> incarnation;
         std::shared_ptr<CallerServer> server;
         std::unique_ptr<FaultProxy> proxy;
         std::uint16_t port = 0; ///< Of the proxy.
-        int lives = 0;
+        int incarnationCount = 0;
     };
 
     std::vector<Node> &nodes() { return m_nodes; }
@@ -76,14 +77,14 @@
 
     boost::asio::io_context &m_io;
     DeploymentSettings m_settings;
-    Promises &m_promises;
+    InvariantChecker &m_checker;
     Metrics m_metrics;
     platform::StandinTable m_table;
     std::shared_ptr<CallerServer> m_tableServer;
     std::vector<Node> m_nodes;
     std::vector<Worker> m_workers;
     /// Ended lives: coroutines may still answer for them.
-    std::vector<std::shared_ptr<platform::StandinWorker>> m_past;
+    std::vector<std::shared_ptr<platform::StandinWorker>> m_endedIncarnations;
     FleetConfig m_config;
     boost::asio::steady_timer m_timer;
 };
--- a/soak/faults.cpp
+++ b/soak/faultinjector.cpp
@@ -1,4 +1,4 @@
-#include "faults.h"
+#include "faultinjector.h"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -8,19 +8,20 @@
 
 namespace {
 
-constexpr int kShortestFault = 200; // ms
-constexpr int kLongestFault = 5000; // ms; past the owner's lease and a task's
-constexpr double kLostShare = 0.3; // of transactions
+constexpr int kMinFaultMs = 200; // ms
+constexpr int kMaxFaultMs = 5000; // ms; past the owner's lease and a task's
+constexpr double kFaultyShare = 0.3; // of transactions
 
 } // namespace
 
-Faults::Faults(boost::asio::io_context &io, Deployment &deployment, std::uint32_t seed)
+FaultInjector::FaultInjector(boost::asio::io_context &io, Deployment &deployment,
+                             std::uint32_t seed)
     : m_io(io)
     , m_deployment(deployment)
     , m_random(seed)
 {}
 
-void Faults::at(Millis time, const std::string &what, Action action)
+void FaultInjector::schedule(Millis time, const std::string &what, Action action)
 {
     auto timer = std::make_shared<boost::asio::steady_timer>(m_io, time);
     timer->async_wait([this, timer, time, what,
@@ -32,14 +33,13 @@
     });
 }
 
-void Faults::plan(int count, Millis from, Millis to)
+void FaultInjector::plan(int count, Millis from, Millis to)
 {
     const auto span = static_cast<unsigned>((to - from).count());
     for (int fault = 0; fault < count; ++fault) {
         const Millis begin = from + Millis(static_cast<int>(m_random() % span));
-        Millis length(kShortestFault
-                      + static_cast<int>(m_random() % (kLongestFault - kShortestFault)));
-        length = std::min(length, std::max(to - begin, Millis(kShortestFault)));
+        Millis length(kMinFaultMs + static_cast<int>(m_random() % (kMaxFaultMs - kMinFaultMs)));
+        length = std::min(length, std::max(to - begin, Millis(kMinFaultMs)));
         switch (m_random() % 4) {
         case 0:
             planNodeFault(begin, length);
@@ -48,7 +48,7 @@
             planTableFault(begin, length);
             break;
         case 2:
-            planLinkFault(begin, length);
+            planConnectionFault(begin, length);
             break;
         default:
             planWorkerFault(begin, length);
@@ -57,7 +57,7 @@
     }
 }
 
-void Faults::planNodeFault(Millis begin, Millis length)
+void FaultInjector::planNodeFault(Millis begin, Millis length)
 {
     const auto index = m_random() % m_deployment.nodes().size();
     const std::string name = "node " + std::to_string(index);
@@ -66,20 +66,20 @@
     };
     switch (m_random() % 3) {
     case 0:
-        at(begin, name + " killed", signal(SIGKILL));
+        schedule(begin, name + " killed", signal(SIGKILL));
         break;
     case 1:
-        at(begin, name + " told to stop", signal(SIGTERM));
+        schedule(begin, name + " told to stop", signal(SIGTERM));
         break;
     default:
-        at(begin, name + " paused", signal(SIGSTOP));
-        at(begin + length, name + " goes on", signal(SIGCONT));
+        schedule(begin, name + " paused", signal(SIGSTOP));
+        schedule(begin + length, name + " goes on", signal(SIGCONT));
         return;
     }
-    at(begin + length, "ended nodes started", [this] { m_deployment.restartNodes(); });
+    schedule(begin + length, "ended nodes started", [this] { m_deployment.restartNodes(); });
 }
 
-void Faults::planTableFault(Millis begin, Millis length)
+void FaultInjector::planTableFault(Millis begin, Millis length)
 {
     platform::TableFault fault;
     std::string what = "table ";
@@ -89,11 +89,11 @@
         what += "down";
         break;
     case 1:
-        fault.lostShare = kLostShare;
+        fault.lostShare = kFaultyShare;
         what += "loses answers";
         break;
     case 2:
-        fault.lateShare = kLostShare;
+        fault.lateShare = kFaultyShare;
         what += "works late";
         break;
     case 3:
@@ -101,70 +101,73 @@
         what += "slow";
         break;
     case 4:
-        at(begin, "table forgets its history", [this] { m_deployment.table().forgetHistory(); });
+        schedule(begin, "table forgets its history",
+                 [this] { m_deployment.table().forgetHistory(); });
         return;
     default:
-        at(begin, "configuration changes, a damaged row", [this] {
+        schedule(begin, "configuration changes, a damaged row", [this] {
             m_deployment.changeConfig();
             m_deployment.writeDamagedRow();
         });
         return;
     }
-    at(begin, what, [this, fault] { m_deployment.table().setFault(fault); });
-    at(begin + length, "table mended", [this] { m_deployment.table().setFault({}); });
+    schedule(begin, what, [this, fault] { m_deployment.table().setFault(fault); });
+    schedule(begin + length, "table mended", [this] { m_deployment.table().setFault({}); });
 }
 
-void Faults::planLinkFault(Millis begin, Millis length)
+void FaultInjector::planConnectionFault(Millis begin, Millis length)
 {
     const bool isNode = m_random() % 2 == 0;
     const auto index = m_random()
         % (isNode ? m_deployment.nodes().size() : m_deployment.workers().size());
     const std::string name = (isNode ? "link of node " : "link to worker ") + std::to_string(index);
     const auto proxy = [this, isNode, index]() -> FaultProxy & {
-        return isNode ? *m_deployment.nodes()[index].table : *m_deployment.workers()[index].proxy;
+        return isNode ? *m_deployment.nodes()[index].tableProxy
+                      : *m_deployment.workers()[index].proxy;
     };
     const auto setMode = [&](FaultProxy::Mode mode, const char *what) {
-        at(begin, name + what, [proxy, mode] { proxy().setMode(mode); });
-        at(begin + length, name + " mended", [proxy] { proxy().setMode(FaultProxy::Mode::Pass); });
+        schedule(begin, name + what, [proxy, mode] { proxy().setMode(mode); });
+        schedule(begin + length, name + " mended",
+                 [proxy] { proxy().setMode(FaultProxy::Mode::Pass); });
     };
     switch (m_random() % 5) {
     case 0:
-        setMode(FaultProxy::Mode::Silent, " silent");
+        setMode(FaultProxy::Mode::Stall, " silent");
         break;
     case 1:
-        setMode(FaultProxy::Mode::AnswersLost, " loses answers");
+        setMode(FaultProxy::Mode::LoseResponses, " loses answers");
         break;
     case 2:
         setMode(FaultProxy::Mode::Refuse, " refuses, and resets what is open");
-        at(begin, name + " reset", [proxy] { proxy().reset(); });
+        schedule(begin, name + " reset", [proxy] { proxy().resetConnections(); });
         break;
     case 3:
-        at(begin, name + " reset", [proxy] { proxy().reset(); });
+        schedule(begin, name + " reset", [proxy] { proxy().resetConnections(); });
         break;
     default: {
         const Millis delay(50 + static_cast<int>(m_random() % 600));
-        at(begin, name + " slow", [proxy, delay] { proxy().setDelay(delay); });
-        at(begin + length, name + " fast again", [proxy] { proxy().setDelay(Millis(0)); });
+        schedule(begin, name + " slow", [proxy, delay] { proxy().setDelay(delay); });
+        schedule(begin + length, name + " fast again", [proxy] { proxy().setDelay(Millis(0)); });
         break;
     }
     }
 }
 
-void Faults::planWorkerFault(Millis begin, Millis length)
+void FaultInjector::planWorkerFault(Millis begin, Millis length)
 {
     const auto index = static_cast<int>(m_random() % m_deployment.workers().size());
     const std::string name = "worker " + std::to_string(index);
-    at(begin, name + " crashes", [this, index] { m_deployment.crashWorker(index); });
-    at(begin + length, name + " begins a new life",
-       [this, index] { m_deployment.startWorker(index); });
+    schedule(begin, name + " crashes", [this, index] { m_deployment.crashWorker(index); });
+    schedule(begin + length, name + " begins a new life",
+             [this, index] { m_deployment.startWorker(index); });
 }
 
-void Faults::mendAll()
+void FaultInjector::clearAll()
 {
     m_deployment.table().setFault({});
     for (Deployment::Node &node : m_deployment.nodes()) {
-        node.table->setMode(FaultProxy::Mode::Pass);
-        node.table->setDelay(Millis(0));
+        node.tableProxy->setMode(FaultProxy::Mode::Pass);
+        node.tableProxy->setDelay(Millis(0));
         node.process->signal(SIGCONT);
     }
     for (Deployment::Worker &worker : m_deployment.workers()) {
--- a/soak/faultproxy.cpp
+++ b/soak/faultproxy.cpp
@@ -33,23 +33,23 @@
 asio::awaitable<void> FaultProxy::accept()
 {
     for (;;) {
-        auto link = std::make_shared<Link>(m_io);
-        co_await m_acceptor.async_accept(link->near, asio::use_awaitable);
-        std::erase_if(m_links, [](const auto &known) { return known.expired(); });
-        m_links.push_back(link);
+        auto link = std::make_shared<Connection>(m_io);
+        co_await m_acceptor.async_accept(link->client, asio::use_awaitable);
+        std::erase_if(m_connections, [](const auto &known) { return known.expired(); });
+        m_connections.push_back(link);
         asio::co_spawn(m_io, serve(link), asio::detached);
     }
 }
 
-asio::awaitable<void> FaultProxy::serve(LinkPtr link)
+asio::awaitable<void> FaultProxy::serve(ConnectionPtr link)
 {
     if (m_mode == Mode::Refuse) {
         close(*link);
         co_return;
     }
     boost::system::error_code failed;
-    co_await link->far.async_connect({asio::ip::make_address("127.0.0.1"), m_target},
-                                     asio::redirect_error(asio::use_awaitable, failed));
+    co_await link->server.async_connect({asio::ip::make_address("127.0.0.1"), m_target},
+                                        asio::redirect_error(asio::use_awaitable, failed));
     if (failed) {
         close(*link);
         co_return;
@@ -58,10 +58,10 @@
     co_await pump(link, false);
 }
 
-asio::awaitable<void> FaultProxy::pump(LinkPtr link, bool isAnswer)
+asio::awaitable<void> FaultProxy::pump(ConnectionPtr link, bool isAnswer)
 {
-    tcp::socket &from = isAnswer ? link->far : link->near;
-    tcp::socket &to = isAnswer ? link->near : link->far;
+    tcp::socket &from = isAnswer ? link->server : link->client;
+    tcp::socket &to = isAnswer ? link->client : link->server;
     std::array<char, kBufferBytes> buffer{};
     boost::system::error_code failed;
     while (!failed) {
@@ -71,10 +71,10 @@
             break;
         if (m_delay.count() > 0)
             co_await wait(m_io, m_delay);
-        while (m_mode == Mode::Silent)
+        while (m_mode == Mode::Stall)
             co_await wait(m_io, kModeCheck);
-        link->hasLostAnswers = link->hasLostAnswers || (isAnswer && m_mode == Mode::AnswersLost);
-        if (isAnswer && link->hasLostAnswers)
+        link->losesResponses = link->losesResponses || (isAnswer && m_mode == Mode::LoseResponses);
+        if (isAnswer && link->losesResponses)
             continue; // what follows would be taken for the answer that was lost
         co_await asio::async_write(to, asio::buffer(buffer, size),
                                    asio::redirect_error(asio::use_awaitable, failed));
@@ -82,18 +82,18 @@
     close(*link);
 }
 
-void FaultProxy::reset()
+void FaultProxy::resetConnections()
 {
-    for (const auto &known : m_links) {
+    for (const auto &known : m_connections) {
         if (const auto link = known.lock())
             close(*link);
     }
 }
 
-void FaultProxy::close(Link &link)
+void FaultProxy::close(Connection &link)
 {
     boost::system::error_code ignored;
-    for (tcp::socket *socket : {&link.near, &link.far}) {
+    for (tcp::socket *socket : {&link.client, &link.server}) {
         socket->set_option(asio::socket_base::linger(true, 0), ignored);
         socket->close(ignored);
     }
--- a/soak/faultproxy.h
+++ b/soak/faultproxy.h
@@ -21,8 +21,8 @@
 public:
     enum class Mode {
         Pass,
-        Silent, ///< Bytes stay on the way, in both directions, and arrive afterwards.
-        AnswersLost, ///< Requests arrive; their answers never do, on these connections.
+        Stall, ///< Bytes stay on the way, in both directions, and arrive afterwards.
+        LoseResponses, ///< Requests arrive; their answers never do, on these connections.
         Refuse, ///< New connections are reset.
     };
 
@@ -31,33 +31,33 @@
     void setMode(Mode mode) { m_mode = mode; }
     void setDelay(Millis delay) { m_delay = delay; }
     /// Resets all open connections.
-    void reset();
+    void resetConnections();
 
 private:
-    struct Link
+    struct Connection
     {
-        explicit Link(boost::asio::io_context &io)
-            : near(io)
-            , far(io)
+        explicit Connection(boost::asio::io_context &io)
+            : client(io)
+            , server(io)
         {}
 
-        boost::asio::ip::tcp::socket near;
-        boost::asio::ip::tcp::socket far;
-        bool hasLostAnswers = false;
+        boost::asio::ip::tcp::socket client;
+        boost::asio::ip::tcp::socket server;
+        bool losesResponses = false;
     };
-    using LinkPtr = std::shared_ptr<Link>;
+    using ConnectionPtr = std::shared_ptr<Connection>;
 
     boost::asio::awaitable<void> accept();
-    boost::asio::awaitable<void> serve(LinkPtr link);
-    boost::asio::awaitable<void> pump(LinkPtr link, bool isAnswer);
-    static void close(Link &link);
+    boost::asio::awaitable<void> serve(ConnectionPtr link);
+    boost::asio::awaitable<void> pump(ConnectionPtr link, bool isAnswer);
+    static void close(Connection &link);
 
     boost::asio::io_context &m_io;
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::uint16_t m_target;
     Mode m_mode = Mode::Pass;
     Millis m_delay{0};
-    std::list<std::weak_ptr<Link>> m_links;
+    std::list<std::weak_ptr<Connection>> m_connections;
 };
 
 } // namespace oleanderhall::soak
--- /dev/null
+++ b/soak/invariantchecker.cpp
@@ -0,0 +1,154 @@
+#include "invariantchecker.h"
+
+#include <algorithm>
+
+namespace oleanderhall::soak {
+
+void InvariantChecker::addViolation(const std::string &what)
+{
+    m_violations.push_back(what);
+}
+
+void InvariantChecker::onSubmitted(const JobSpec &job)
+{
+    m_jobs[job.id].spec = job;
+}
+
+void InvariantChecker::onAccepted(JobId id)
+{
+    m_jobs[id].isAccepted = true;
+}
+
+void InvariantChecker::onRefused(JobId id)
+{
+    m_jobs[id].isRefused = true;
+    for (const auto &[task, state] : m_tasks) {
+        if (task.job == id && (!state.running.empty() || !state.outcomes.empty()))
+            addViolation(textOf(id) + " was refused, and has run");
+    }
+}
+
+void InvariantChecker::onCancelSent(JobId id)
+{
+    m_jobs[id].isCancelSent = true;
+}
+
+void InvariantChecker::onStateReported(JobId id, std::optional<JobState> state)
+{
+    Job &job = m_jobs[id];
+    if (!state) {
+        addViolation(textOf(id) + " was accepted, and is said not to exist");
+        return;
+    }
+    if (job.reportedState && isFinal(*job.reportedState) && *state != *job.reportedState)
+        addViolation(textOf(id) + " changed its state after it was over");
+    job.reportedState = state;
+    if (*state == JobState::Completed) {
+        for (int step = 0; step < static_cast<int>(job.spec.steps.size()); ++step) {
+            if (!isStepDone(job, step))
+                addViolation(textOf(id) + " is said to be completed, and step "
+                             + std::to_string(step) + " is not");
+        }
+    }
+    if (*state == JobState::Cancelled && !job.isCancelSent)
+        addViolation(textOf(id) + " is said to be cancelled, and nobody did");
+    if (*state == JobState::Failed) {
+        const bool hasCause = std::any_of(m_tasks.begin(), m_tasks.end(), [&](const auto &entry) {
+            return entry.first.job == id && entry.second.failures >= job.spec.queue.maxAttempts;
+        });
+        if (!hasCause)
+            addViolation(textOf(id) + " is said to have failed without cause");
+    }
+}
+
+bool InvariantChecker::isStepDone(const Job &job, int step) const
+{
+    for (int index = 0; index < job.spec.steps[static_cast<std::size_t>(step)].count; ++index) {
+        const auto task = m_tasks.find({job.spec.id, 0, step, index});
+        if (task == m_tasks.end() || !task->second.isDone)
+            return false;
+    }
+    return true;
+}
+
+void InvariantChecker::started(const TaskId &id, std::int64_t run, const std::string &worker)
+{
+    ++m_runs;
+    const std::string name = textOf(id) + " run " + std::to_string(run) + " on " + worker;
+    const auto found = m_jobs.find(id.job);
+    if (found == m_jobs.end() || id.step >= static_cast<int>(found->second.spec.steps.size())
+        || id.index >= found->second.spec.steps[static_cast<std::size_t>(id.step)].count) {
+        addViolation(name + " was started, and nobody asked for it");
+        return;
+    }
+    const Job &job = found->second;
+    Task &task = m_tasks[id];
+    if (job.isRefused)
+        addViolation(name + " was started, and its job was refused");
+    for (const auto &[otherRun, otherWorker] : task.running) {
+        std::string what = name;
+        what += " was started while run " + std::to_string(otherRun) + " is at work on "
+            + otherWorker;
+        addViolation(what);
+    }
+    if (task.isDoneAcknowledged)
+        addViolation(name + " was started after its end was noted");
+    if (task.acknowledgedFailures >= job.spec.queue.maxAttempts)
+        addViolation(name + " was started after all its attempts had failed");
+    for (const int earlier : job.spec.steps[static_cast<std::size_t>(id.step)].after) {
+        if (!isStepDone(job, earlier))
+            addViolation(name + " was started before step " + std::to_string(earlier)
+                         + " was done");
+    }
+    task.running[run] = worker;
+}
+
+void InvariantChecker::ended(const TaskId &id, std::int64_t run, RunOutcome end)
+{
+    Task &task = m_tasks[id];
+    task.running.erase(run);
+    task.outcomes[run] = end;
+    task.isDone = task.isDone || end == RunOutcome::Done;
+    task.failures += end == RunOutcome::Failed ? 1 : 0;
+}
+
+void InvariantChecker::endNoted(const TaskId &id, std::int64_t run)
+{
+    Task &task = m_tasks[id];
+    const auto end = task.outcomes.find(run);
+    if (end == task.outcomes.end())
+        return;
+    task.isDoneAcknowledged = task.isDoneAcknowledged || end->second == RunOutcome::Done;
+    task.acknowledgedFailures += end->second == RunOutcome::Failed ? 1 : 0;
+}
+
+bool InvariantChecker::areAllJobsFinished() const
+{
+    return unfinishedJobs().empty();
+}
+
+std::vector<JobId> InvariantChecker::unfinishedJobs() const
+{
+    std::vector<JobId> open;
+    for (const auto &[id, job] : m_jobs) {
+        if (job.isAccepted && !(job.reportedState && isFinal(*job.reportedState)))
+            open.push_back(id);
+    }
+    return open;
+}
+
+void InvariantChecker::checkFinalState()
+{
+    for (const JobId id : unfinishedJobs())
+        addViolation(textOf(id) + " was accepted, and is not over");
+    for (const auto &[id, task] : m_tasks) {
+        const Job &job = m_jobs[id.job];
+        for (const auto &[run, worker] : task.running) {
+            if (job.reportedState && isFinal(*job.reportedState))
+                addViolation(textOf(id) + " run " + std::to_string(run) + " works on at " + worker
+                             + ", and its job is over");
+        }
+    }
+}
+
+} // namespace oleanderhall::soak
--- a/soak/promises.h
+++ b/soak/invariantchecker.h
@@ -15,17 +15,17 @@
 
 /// Internal: checks what callers and workers see against the promises: no task runs twice, in the
 /// wrong order, too often, unasked or after a refusal, and no accepted job is lost or told wrongly.
-class Promises : public platform::RunObserver
+class InvariantChecker : public platform::RunObserver
 {
 public:
     // What callers do and hear.
-    void submitted(const JobSpec &job);
-    void accepted(JobId id);
+    void onSubmitted(const JobSpec &job);
+    void onAccepted(JobId id);
     /// Every attempt to hand the job in was refused, so that it must never run.
-    void refused(JobId id);
-    void cancelSent(JobId id);
+    void onRefused(JobId id);
+    void onCancelSent(JobId id);
     /// A caller was told the state; nothing: that there is no such job.
-    void told(JobId id, std::optional<JobState> state);
+    void onStateReported(JobId id, std::optional<JobState> state);
 
     // What workers see.
     void started(const TaskId &task, std::int64_t run, const std::string &worker) override;
@@ -33,10 +33,10 @@
     void endNoted(const TaskId &task, std::int64_t run) override;
 
     /// Checks, when all faults are over and time was left, that nothing is open.
-    void checkEnd();
+    void checkFinalState();
     /// Returns whether every accepted job was told to be over.
-    bool areAllOver() const;
-    std::vector<JobId> openJobs() const;
+    bool areAllJobsFinished() const;
+    std::vector<JobId> unfinishedJobs() const;
     const std::vector<std::string> &violations() const { return m_violations; }
     std::size_t runs() const { return m_runs; }
 
@@ -47,19 +47,19 @@
         bool isAccepted = false;
         bool isRefused = false;
         bool isCancelSent = false;
-        std::optional<JobState> told;
+        std::optional<JobState> reportedState;
     };
     struct Task
     {
         std::map<std::int64_t, std::string> running; ///< Run and its worker.
-        std::map<std::int64_t, RunOutcome> ends;
+        std::map<std::int64_t, RunOutcome> outcomes;
         bool isDone = false;
-        bool isDoneNoted = false;
+        bool isDoneAcknowledged = false;
         int failures = 0;
-        int failuresNoted = 0;
+        int acknowledgedFailures = 0;
     };
 
-    void violated(const std::string &what);
+    void addViolation(const std::string &what);
     bool isStepDone(const Job &job, int step) const;
 
     std::map<JobId, Job> m_jobs;
--- a/soak/nodeprocess.cpp
+++ b/soak/nodeprocess.cpp
@@ -17,7 +17,7 @@
 
 NodeProcess::NodeProcess(std::vector<std::string> command, std::string log)
     : m_command(std::move(command))
-    , m_log(std::move(log))
+    , m_logFile(std::move(log))
 {}
 
 NodeProcess::~NodeProcess()
@@ -37,7 +37,7 @@
     arguments.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_log.c_str(),
+    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_logFile.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, kLogMode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
     const int failed = posix_spawn(&m_pid, arguments.front(), &actions, nullptr, arguments.data(),
@@ -45,14 +45,14 @@
     posix_spawn_file_actions_destroy(&actions);
     if (failed != 0)
         throw std::system_error(failed, std::generic_category(), m_command.front());
-    m_isEndWanted = false;
+    m_isTerminationRequested = false;
 }
 
 void NodeProcess::signal(int number) const
 {
     if (m_pid <= 0)
         return;
-    m_isEndWanted = m_isEndWanted || number == SIGKILL || number == SIGTERM;
+    m_isTerminationRequested = m_isTerminationRequested || number == SIGKILL || number == SIGTERM;
     ::kill(m_pid, number);
 }
 
@@ -62,7 +62,7 @@
         return false;
     if (::waitpid(m_pid, nullptr, WNOHANG) == 0)
         return true;
-    m_hasCrashed = m_hasCrashed || !m_isEndWanted;
+    m_hasCrashed = m_hasCrashed || !m_isTerminationRequested;
     m_pid = -1;
     return false;
 }
--- a/soak/nodeprocess.h
+++ b/soak/nodeprocess.h
@@ -27,9 +27,9 @@
 
 private:
     std::vector<std::string> m_command;
-    std::string m_log;
+    std::string m_logFile;
     pid_t m_pid = -1;
-    mutable bool m_isEndWanted = false;
+    mutable bool m_isTerminationRequested = false;
     bool m_hasCrashed = false;
 };
 
--- a/standin/platform/faultswitch.cpp
+++ b/standin/platform/faultswitch.cpp
@@ -11,8 +11,8 @@
 Fault faultNamed(const std::string &name)
 {
     static const std::map<std::string, Fault> names{
-        {"none", Fault::None}, {"down", Fault::Down},       {"silent", Fault::Silent},
-        {"slow", Fault::Slow}, {"lost", Fault::LostAnswer}, {"late", Fault::LateEffect}};
+        {"none", Fault::None}, {"down", Fault::Down},         {"silent", Fault::Silent},
+        {"slow", Fault::Slow}, {"lost", Fault::LostResponse}, {"late", Fault::DelayedEffect}};
     return names.at(name);
 }
 
--- a/standin/platform/faultswitch.h
+++ b/standin/platform/faultswitch.h
@@ -14,8 +14,8 @@
     Down, ///< Answers 503 and does nothing.
     Silent, ///< Does nothing and answers only after a long time.
     Slow, ///< Works after a delay.
-    LostAnswer, ///< Works, then answers 500.
-    LateEffect, ///< Answers 500 at once and works after a delay.
+    LostResponse, ///< Works, then answers 500.
+    DelayedEffect, ///< Answers 500 at once and works after a delay.
 };
 
 /// A FaultSwitch holds the fault that a test has set for one service of the stand-in. A fault may
--- a/standin/platform/hostlistservice.h
+++ b/standin/platform/hostlistservice.h
@@ -25,7 +25,7 @@
     web::json::value list();
 
 private:
-    struct Edit
+    struct PendingChange
     {
         std::chrono::steady_clock::time_point at;
         std::string host;
@@ -34,7 +34,7 @@
 
     std::chrono::milliseconds m_lag;
     std::mutex m_mutex;
-    std::vector<Edit> m_pending;
+    std::vector<PendingChange> m_pending;
     std::map<std::string, std::string> m_listed;
 };
 
--- a/standin/platform/main.cpp
+++ b/standin/platform/main.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds kSilence{30};
+constexpr std::chrono::seconds kSilentDuration{30};
 constexpr int kThreads = 32;
 
 /// Runs `work` for a call as the fault says, and replies with what it returns.
@@ -32,17 +32,17 @@
         request.reply(status_codes::ServiceUnavailable);
         return;
     case Fault::Silent:
-        std::this_thread::sleep_for(kSilence);
+        std::this_thread::sleep_for(kSilentDuration);
         return;
     case Fault::Slow:
         std::this_thread::sleep_for(faults.delay());
         work(request, true);
         return;
-    case Fault::LostAnswer:
+    case Fault::LostResponse:
         work(request, false);
         request.reply(status_codes::InternalError);
         return;
-    case Fault::LateEffect:
+    case Fault::DelayedEffect:
         request.reply(status_codes::InternalError);
         std::this_thread::sleep_for(faults.delay());
         work(request, false);
@@ -64,11 +64,11 @@
     {
         // Blocking for the body would hold a thread that reading the body needs.
         request.extract_utf8string(true).then(
-            [this, request](const pplx::task<std::string> &body) { answer(request, body); });
+            [this, request](const pplx::task<std::string> &body) { handleBody(request, body); });
     }
 
 private:
-    void answer(http_request request, const pplx::task<std::string> &body)
+    void handleBody(http_request request, const pplx::task<std::string> &body)
     {
         try {
             route(request, body.get());
@@ -110,9 +110,10 @@
 
     void handleTable(http_request request, const web::json::value &body, bool replies)
     {
-        const TableAnswer answer = m_table.handle(request.headers()["X-Amz-Target"], body);
+        const TableResponse response = m_table.handleRequest(request.headers()["X-Amz-Target"],
+                                                             body);
         if (replies)
-            request.reply(static_cast<web::http::status_code>(answer.status), answer.body);
+            request.reply(static_cast<web::http::status_code>(response.status), response.body);
     }
 
     void handleObject(http_request request, const std::string &key, const std::string &body,
--- a/standin/platform/tableservice.cpp
+++ b/standin/platform/tableservice.cpp
@@ -23,24 +23,24 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-TableAnswer validationError(const std::string &message)
+TableResponse validationError(const std::string &message)
 {
-    TableAnswer answer{.status = kBadRequest};
-    answer.body["__type"] = value::string("com.amazonaws.dynamodb.v20120810#ValidationException");
-    answer.body["message"] = value::string(message);
-    return answer;
+    TableResponse response{.status = kBadRequest};
+    response.body["__type"] = value::string("com.amazonaws.dynamodb.v20120810#ValidationException");
+    response.body["message"] = value::string(message);
+    return response;
 }
 
-TableAnswer cancelled(const std::vector<bool> &failed)
+TableResponse cancelled(const std::vector<bool> &failed)
 {
-    TableAnswer answer{.status = kBadRequest};
-    answer.body["__type"] = value::string(
+    TableResponse response{.status = kBadRequest};
+    response.body["__type"] = value::string(
         "com.amazonaws.dynamodb.v20120810#TransactionCanceledException");
     value reasons = value::array(failed.size());
     for (std::size_t index = 0; index < failed.size(); ++index)
         reasons[index]["Code"] = value::string(failed[index] ? "ConditionalCheckFailed" : "None");
-    answer.body["CancellationReasons"] = reasons;
-    return answer;
+    response.body["CancellationReasons"] = reasons;
+    return response;
 }
 
 std::pair<std::string, value> onlyAction(const value &item)
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TableAnswer TableService::handle(const std::string &operation, const value &request)
+TableResponse TableService::handleRequest(const std::string &operation, const value &request)
 {
     if (operation == std::string(kOperationPrefix) + "TransactWriteItems")
         return transact(request);
@@ -73,7 +73,7 @@
     return result;
 }
 
-TableAnswer TableService::transact(const value &request)
+TableResponse TableService::transact(const value &request)
 {
     const auto &items = request.at("TransactItems").as_array();
     if (items.size() > kMaxTransactItems)
@@ -84,7 +84,7 @@
     for (const value &item : items) {
         const auto [name, action] = onlyAction(item);
         const Key key = keyIn(name == "Put" ? action.at("Item") : action.at("Key"));
-        failed.push_back(!holds(action, key));
+        failed.push_back(!conditionHolds(action, key));
         anyFailed = anyFailed || failed.back();
     }
     if (anyFailed)
@@ -100,17 +100,17 @@
     return {};
 }
 
-TableAnswer TableService::getItem(const value &request)
+TableResponse TableService::getItem(const value &request)
 {
     const std::lock_guard lock(m_mutex);
-    TableAnswer answer;
+    TableResponse response;
     const auto found = m_items.find(keyIn(request.at("Key")));
     if (found != m_items.end())
-        answer.body["Item"] = found->second;
-    return answer;
+        response.body["Item"] = found->second;
+    return response;
 }
 
-TableAnswer TableService::query(const value &request)
+TableResponse TableService::query(const value &request)
 {
     const auto &values = request.at("ExpressionAttributeValues");
     const std::string partition = values.at(":pk").at("S").as_string();
@@ -118,21 +118,21 @@
                                                       : std::string();
     const auto limit = static_cast<std::size_t>(request.at("Limit").as_integer());
     const std::lock_guard lock(m_mutex);
-    TableAnswer answer;
+    TableResponse response;
     value items = value::array();
     std::size_t count = 0;
     auto item = m_items.upper_bound({partition, after});
     for (; item != m_items.end() && item->first.first == partition && count < limit; ++item)
         items[count++] = item->second;
     if (item != m_items.end() && item->first.first == partition && count > 0) {
-        answer.body["LastEvaluatedKey"]["pk"] = items[count - 1].at("pk");
-        answer.body["LastEvaluatedKey"]["sk"] = items[count - 1].at("sk");
+        response.body["LastEvaluatedKey"]["pk"] = items[count - 1].at("pk");
+        response.body["LastEvaluatedKey"]["sk"] = items[count - 1].at("sk");
     }
-    answer.body["Items"] = items;
-    return answer;
+    response.body["Items"] = items;
+    return response;
 }
 
-bool TableService::holds(const value &action, const Key &key) const
+bool TableService::conditionHolds(const value &action, const Key &key) const
 {
     if (!action.has_field("ConditionExpression"))
         return true;
--- a/standin/platform/tableservice.h
+++ b/standin/platform/tableservice.h
@@ -11,7 +11,7 @@
 namespace standin {
 
 /// The answer to a table call: an HTTP status and a JSON body.
-struct TableAnswer
+struct TableResponse
 {
     int status = 200;
     web::json::value body = web::json::value::object();
@@ -23,7 +23,7 @@
 class TableService
 {
 public:
-    TableAnswer handle(const std::string &operation, const web::json::value &request);
+    TableResponse handleRequest(const std::string &operation, const web::json::value &request);
 
     /// Returns the journal of committed transactions: time in microseconds and request token.
     web::json::value journal() const;
@@ -36,10 +36,10 @@
         std::string token;
     };
 
-    TableAnswer transact(const web::json::value &request);
-    TableAnswer getItem(const web::json::value &request);
-    TableAnswer query(const web::json::value &request);
-    bool holds(const web::json::value &action, const Key &key) const;
+    TableResponse transact(const web::json::value &request);
+    TableResponse getItem(const web::json::value &request);
+    TableResponse query(const web::json::value &request);
+    bool conditionHolds(const web::json::value &action, const Key &key) const;
 
     mutable std::mutex m_mutex;
     std::map<Key, web::json::value> m_items;
--- a/standin/relay/main.cpp
+++ b/standin/relay/main.cpp
@@ -47,34 +47,35 @@
     }
 
 private:
-    struct Link
+    struct Connection
     {
-        explicit Link(asio::io_context &io)
-            : near(io)
-            , far(io)
+        explicit Connection(asio::io_context &io)
+            : client(io)
+            , server(io)
         {}
 
-        tcp::socket near;
-        tcp::socket far;
-        bool isSilent = false;
+        tcp::socket client;
+        tcp::socket server;
+        bool isStalled = false;
     };
-    using LinkPtr = std::shared_ptr<Link>;
+    using ConnectionPtr = std::shared_ptr<Connection>;
 
     asio::awaitable<void> watchSignals()
     {
         for (;;) {
             const int signal = co_await m_signals.async_wait(asio::use_awaitable);
-            m_isCut = signal == SIGUSR1;
-            for (const std::weak_ptr<Link> &item : m_links) {
-                const LinkPtr link = item.lock();
+            m_isPartitioned = signal == SIGUSR1;
+            for (const std::weak_ptr<Connection> &item : m_connections) {
+                const ConnectionPtr link = item.lock();
                 if (!link)
                     continue;
-                if (m_isCut)
-                    link->isSilent = true;
-                else if (link->isSilent)
+                if (m_isPartitioned)
+                    link->isStalled = true;
+                else if (link->isStalled)
                     close(*link);
             }
-            m_links.remove_if([](const std::weak_ptr<Link> &item) { return item.expired(); });
+            m_connections.remove_if(
+                [](const std::weak_ptr<Connection> &item) { return item.expired(); });
         }
     }
 
@@ -82,54 +83,56 @@
     {
         tcp::acceptor acceptor(m_io, listen);
         for (;;) {
-            auto link = std::make_shared<Link>(m_io);
-            co_await acceptor.async_accept(link->near, asio::use_awaitable);
-            link->isSilent = m_isCut;
-            m_links.push_back(link);
-            m_links.remove_if([](const std::weak_ptr<Link> &item) { return item.expired(); });
+            auto link = std::make_shared<Connection>(m_io);
+            co_await acceptor.async_accept(link->client, asio::use_awaitable);
+            link->isStalled = m_isPartitioned;
+            m_connections.push_back(link);
+            m_connections.remove_if(
+                [](const std::weak_ptr<Connection> &item) { return item.expired(); });
             asio::co_spawn(m_io, start(link, target), asio::detached);
         }
     }
 
-    asio::awaitable<void> start(LinkPtr link, tcp::endpoint target)
+    asio::awaitable<void> start(ConnectionPtr link, tcp::endpoint target)
     {
         boost::system::error_code failed;
-        co_await link->far.async_connect(target, asio::redirect_error(asio::use_awaitable, failed));
+        co_await link->server.async_connect(target,
+                                            asio::redirect_error(asio::use_awaitable, failed));
         if (failed) {
             close(*link);
             co_return;
         }
-        asio::co_spawn(m_io, forward(link, link->near, link->far), asio::detached);
-        asio::co_spawn(m_io, forward(link, link->far, link->near), asio::detached);
+        asio::co_spawn(m_io, forward(link, link->client, link->server), asio::detached);
+        asio::co_spawn(m_io, forward(link, link->server, link->client), asio::detached);
     }
 
-    asio::awaitable<void> forward(LinkPtr link, tcp::socket &from, tcp::socket &to)
+    asio::awaitable<void> forward(ConnectionPtr link, tcp::socket &from, tcp::socket &to)
     {
         std::array<char, kBufferBytes> buffer;
         boost::system::error_code failed;
         while (!failed) {
             const std::size_t size = co_await from.async_read_some(
                 asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, failed));
-            if (failed || link->isSilent)
+            if (failed || link->isStalled)
                 continue;
             co_await asio::async_write(to, asio::buffer(buffer, size),
                                        asio::redirect_error(asio::use_awaitable, failed));
         }
-        if (!link->isSilent)
+        if (!link->isStalled)
             close(*link);
     }
 
-    static void close(Link &link)
+    static void close(Connection &link)
     {
         boost::system::error_code ignored;
-        link.near.close(ignored);
-        link.far.close(ignored);
+        link.client.close(ignored);
+        link.server.close(ignored);
     }
 
     asio::io_context &m_io;
     asio::signal_set m_signals;
-    bool m_isCut = false;
-    std::list<std::weak_ptr<Link>> m_links;
+    bool m_isPartitioned = false;
+    std::list<std::weak_ptr<Connection>> m_connections;
 };
 
 } // namespace
--- a/standin/workers/instance.cpp
+++ b/standin/workers/instance.cpp
@@ -126,7 +126,7 @@
         co_await m_acceptor.async_accept(socket, asio::redirect_error(asio::use_awaitable, failed));
         if (failed)
             co_return;
-        if (m_open >= m_settings.connections)
+        if (m_connectionCount >= m_settings.connections)
             continue;
         socket.set_option(asio::ip::tcp::no_delay(true), failed);
         auto connection = std::make_shared<Connection>(std::move(socket));
@@ -134,7 +134,7 @@
             const std::lock_guard lock(m_mutex);
             m_connections.insert(connection);
         }
-        ++m_open;
+        ++m_connectionCount;
         asio::co_spawn(
             connection->socket.get_executor(),
             [self = shared_from_this(), connection] { return self->serve(connection); },
@@ -151,7 +151,7 @@
     }
     const std::lock_guard lock(m_mutex);
     m_connections.erase(connection);
-    --m_open;
+    --m_connectionCount;
 }
 
 asio::awaitable<bool> Instance::serveOne(std::shared_ptr<Connection> connection)
@@ -160,36 +160,36 @@
     co_await http::async_read(connection->socket, connection->buffer, request, asio::use_awaitable);
     connection->isBusy = true;
     const InstanceFault fault = m_fault;
-    if (fault == InstanceFault::CloseUnread)
+    if (fault == InstanceFault::CloseUnprocessed)
         co_return false;
     if (fault == InstanceFault::Silent) {
         co_await pause(kSilenceMs);
         co_return false;
     }
-    if (m_running >= m_settings.slots) {
+    if (m_requestsInFlight >= m_settings.slots) {
         auto refusal = responseTo(request, http::status::service_unavailable, "{}", !m_isStopping);
         co_await http::async_write(connection->socket, refusal, asio::use_awaitable);
         connection->isBusy = false;
         co_return !m_isStopping;
     }
-    if (fault == InstanceFault::ErrorFast) {
+    if (fault == InstanceFault::ImmediateError) {
         auto error = responseTo(request, http::status::internal_server_error, "{}", true);
         co_await http::async_write(connection->socket, error, asio::use_awaitable);
         connection->isBusy = false;
         co_return !m_isStopping;
     }
-    ++m_running;
+    ++m_requestsInFlight;
     const std::string requestId = requestIdOf(request);
     const std::size_t run = m_log.start({requestId, m_settings.host, m_settings.service});
     co_await pause(workMs(request) + (fault == InstanceFault::Slow ? kExtraSlowMs : 0));
-    --m_running;
+    --m_requestsInFlight;
     if (m_isKilled)
         co_return false;
     m_log.end(run);
     const std::string body = "{\"request\":\"" + requestId + "\",\"service\":\""
         + m_settings.service + "\",\"host\":\"" + m_settings.host + "\"}";
     auto response = responseTo(request, http::status::ok, body, !m_isStopping);
-    if (fault == InstanceFault::CutAnswer) {
+    if (fault == InstanceFault::TruncateResponse) {
         co_await asio::async_write(
             connection->socket,
             asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{\"req")),
--- a/standin/workers/instance.h
+++ b/standin/workers/instance.h
@@ -21,9 +21,9 @@
     None,
     Silent, ///< Reads requests and answers nothing.
     Slow, ///< Takes a second longer.
-    CutAnswer, ///< Runs the request, then cuts the answer in the middle.
-    CloseUnread, ///< Closes the connection after reading the request, without running it.
-    ErrorFast, ///< Answers 500 at once.
+    TruncateResponse, ///< Runs the request, then cuts the answer in the middle.
+    CloseUnprocessed, ///< Closes the connection after reading the request, without running it.
+    ImmediateError, ///< Answers 500 at once.
 };
 
 /// Where an instance listens and how much it takes.
@@ -53,7 +53,7 @@
     /// Drops everything at once.
     void kill();
     /// Returns whether a graceful stop has ended.
-    bool isIdle() const { return m_open == 0; }
+    bool isIdle() const { return m_connectionCount == 0; }
     void setFault(InstanceFault fault) { m_fault = fault; }
     const InstanceSettings &settings() const { return m_settings; }
 
@@ -70,8 +70,8 @@
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::mutex m_mutex;
     std::set<std::shared_ptr<Connection>> m_connections;
-    std::atomic<int> m_open{0};
-    std::atomic<int> m_running{0};
+    std::atomic<int> m_connectionCount{0};
+    std::atomic<int> m_requestsInFlight{0};
     std::atomic<bool> m_isStopping{false};
     std::atomic<bool> m_isKilled{false};
     std::atomic<InstanceFault> m_fault{InstanceFault::None};
--- a/standin/workers/main.cpp
+++ b/standin/workers/main.cpp
@@ -20,7 +20,7 @@
 
 constexpr int kApiThreads = 16;
 constexpr int kInstanceThreads = 3;
-constexpr web::http::status_code kConflict = status_codes::Conflict;
+constexpr web::http::status_code kExitConflict = status_codes::Conflict;
 
 class WorkerFleet
 {
@@ -34,11 +34,11 @@
     {
         // Blocking for the body would hold a thread that reading the body needs.
         request.extract_utf8string(true).then(
-            [this, request](const pplx::task<std::string> &body) { answer(request, body); });
+            [this, request](const pplx::task<std::string> &body) { handleBody(request, body); });
     }
 
 private:
-    void answer(http_request request, const pplx::task<std::string> &body)
+    void handleBody(http_request request, const pplx::task<std::string> &body)
     {
         try {
             route(request, body.get());
@@ -68,7 +68,7 @@
             const auto json = web::json::value::parse(body);
             const bool isDone = action == "reboot" ? worker(name).reboot(json)
                                                    : worker(name).setTasks(json);
-            request.reply(isDone ? status_codes::OK : kConflict);
+            request.reply(isDone ? status_codes::OK : kExitConflict);
         }
     }
 
--- a/standin/workers/worker.cpp
+++ b/standin/workers/worker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool names(const web::json::array &tasks, const std::string &service)
+bool listsService(const web::json::array &tasks, const std::string &service)
 {
     return std::any_of(tasks.begin(), tasks.end(), [&service](const value &task) {
         return task.at("service").as_string() == service;
@@ -28,9 +28,9 @@
     static const std::map<std::string, InstanceFault> faults{
         {"silent", InstanceFault::Silent},
         {"slow", InstanceFault::Slow},
-        {"cut", InstanceFault::CutAnswer},
-        {"closeUnread", InstanceFault::CloseUnread},
-        {"errorFast", InstanceFault::ErrorFast}};
+        {"cut", InstanceFault::TruncateResponse},
+        {"closeUnread", InstanceFault::CloseUnprocessed},
+        {"errorFast", InstanceFault::ImmediateError}};
     const auto found = faults.find(mode);
     return found == faults.end() ? InstanceFault::None : found->second;
 }
@@ -48,7 +48,7 @@
 bool Worker::setTasks(const value &json)
 {
     const std::lock_guard lock(m_mutex);
-    if (!accepts(json.at("epoch").as_number().to_uint64()))
+    if (!acceptEpoch(json.at("epoch").as_number().to_uint64()))
         return false;
     stopTasksExcept(json.at("tasks").as_array());
     for (const value &task : json.at("tasks").as_array()) {
@@ -62,23 +62,23 @@
 {
     const std::lock_guard lock(m_mutex);
     const std::uint64_t epoch = json.at("epoch").as_number().to_uint64();
-    if (!accepts(epoch))
+    if (!acceptEpoch(epoch))
         return false;
-    if (m_rebootingTo == epoch)
+    if (m_rebootEpoch == epoch)
         return true;
-    dropInstances();
-    m_rebootingTo = epoch;
-    m_upAt = Clock::now() + m_rebootTime;
+    killInstances();
+    m_rebootEpoch = epoch;
+    m_rebootEnd = Clock::now() + m_rebootTime;
     return true;
 }
 
 value Worker::state()
 {
     const std::lock_guard lock(m_mutex);
-    dropIdle();
+    removeStopped();
     value result = value::object();
     result["epoch"] = value::number(m_epoch);
-    result["bootEpoch"] = value::number(m_rebootingTo);
+    result["bootEpoch"] = value::number(m_rebootEpoch);
     value tasks = value::array();
     std::size_t count = 0;
     for (const auto &[service, instance] : m_instances)
@@ -92,7 +92,7 @@
 bool Worker::isUp()
 {
     const std::lock_guard lock(m_mutex);
-    const bool isBack = m_rebootingTo == 0 || (!m_neverReturns && Clock::now() >= m_upAt);
+    const bool isBack = m_rebootEpoch == 0 || (!m_neverReturns && Clock::now() >= m_rebootEnd);
     return !m_isDead && isBack;
 }
 
@@ -100,7 +100,7 @@
 {
     const std::lock_guard lock(m_mutex);
     if (mode == "dead" || mode == "restart")
-        dropInstances();
+        killInstances();
     if (mode == "restart")
         m_epoch = 0;
     m_isDead = mode == "dead";
@@ -133,7 +133,7 @@
 void Worker::stopTasksExcept(const web::json::array &tasks)
 {
     for (auto item = m_instances.begin(); item != m_instances.end();) {
-        if (names(tasks, item->first)) {
+        if (listsService(tasks, item->first)) {
             ++item;
             continue;
         }
@@ -143,7 +143,7 @@
     }
 }
 
-void Worker::dropInstances()
+void Worker::killInstances()
 {
     for (auto *instances : {&m_instances, &m_stopping}) {
         for (const auto &[service, instance] : *instances)
@@ -152,12 +152,12 @@
     }
 }
 
-void Worker::dropIdle()
+void Worker::removeStopped()
 {
     std::erase_if(m_stopping, [](const auto &item) { return item.second->isIdle(); });
 }
 
-bool Worker::accepts(std::uint64_t epoch)
+bool Worker::acceptEpoch(std::uint64_t epoch)
 {
     if (epoch < m_epoch)
         return false;
--- a/standin/workers/worker.h
+++ b/standin/workers/worker.h
@@ -34,9 +34,9 @@
 
     void startTask(const web::json::value &task);
     void stopTasksExcept(const web::json::array &tasks);
-    void dropInstances();
-    void dropIdle();
-    bool accepts(std::uint64_t epoch);
+    void killInstances();
+    void removeStopped();
+    bool acceptEpoch(std::uint64_t epoch);
 
     std::string m_name;
     boost::asio::io_context &m_io;
@@ -45,8 +45,8 @@
     std::mutex m_mutex;
     std::uint64_t m_epoch = 0;
     std::uint64_t m_bootEpoch = 0;
-    std::uint64_t m_rebootingTo = 0;
-    Clock::time_point m_upAt;
+    std::uint64_t m_rebootEpoch = 0;
+    Clock::time_point m_rebootEnd;
     bool m_isDead = false;
     bool m_failsStarts = false;
     bool m_neverReturns = false;
--- a/tests/load/historycheck_test.cpp
+++ b/tests/load/historycheck_test.cpp
@@ -14,8 +14,8 @@
                                 .number = 0,
                                 .isUnrepeatable = true,
                                 .status = 200,
-                                .answeredFor = "op-1.0"});
-    records.runs.push_back({"op-1.0", "h1", "s", 1, 2});
+                                .respondedRequestId = "op-1.0"});
+    records.executions.push_back({"op-1.0", "h1", "s", 1, 2});
     return records;
 }
 
@@ -29,21 +29,21 @@
 TEST_CASE("checkHistory: an unrepeatable operation that ran twice: is named")
 {
     Records records = sampleRecords();
-    records.runs.push_back({"op-1.1", "h2", "s", 3, 4});
-    CHECK(checkHistory(records).doubleRuns == 1);
+    records.executions.push_back({"op-1.1", "h2", "s", 3, 4});
+    CHECK(checkHistory(records).doubleExecutions == 1);
 }
 
 TEST_CASE("checkHistory: a request refused as not run that ran: is named")
 {
     Records records = sampleRecords();
-    records.attempts[0].ran = "no";
+    records.attempts[0].executionStatus = "no";
     records.attempts[0].status = 503;
-    CHECK(checkHistory(records).falseNotRun == 1);
+    CHECK(checkHistory(records).falseNotExecuted == 1);
 }
 
 TEST_CASE("checkHistory: an answer of another request: is named")
 {
     Records records = sampleRecords();
-    records.attempts[0].answeredFor = "op-2.0";
-    CHECK(checkHistory(records).wrongAnswers == 1);
+    records.attempts[0].respondedRequestId = "op-2.0";
+    CHECK(checkHistory(records).wrongResponses == 1);
 }
