--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Millis kCallTimeout{3000}; // a caller's usual time limit
+constexpr Millis kCallTimeout{3000};
 constexpr Millis kPollInterval{400};
 constexpr Millis kRetryDelay{300};
 constexpr int kMaxSubmitAttempts = 6;
@@ -25,11 +25,11 @@
 
 } // namespace
 
-Callers::Callers(asio::io_context &io, Deployment &deployment, InvariantChecker &promises,
+Callers::Callers(asio::io_context &io, Deployment &deployment, InvariantChecker &checker,
                  std::uint32_t seed)
     : m_io(io)
     , m_deployment(deployment)
-    , m_checker(promises)
+    , m_checker(checker)
     , m_random(seed)
 {
     for (const Deployment::Node &node : deployment.nodes())
@@ -85,34 +85,35 @@
 {
     const auto &nodes = m_deployment.nodes();
     const std::string &node = nodes[m_random() % nodes.size()].callerAddress;
-    auto shot = std::make_shared<OneShot<HttpAnswer>>(m_io.get_executor());
+    auto result = std::make_shared<OneShot<HttpAnswer>>(m_io.get_executor());
     m_clients.at(node)->send(
         {.method = method,
          .target = job.queue.prefix + textOf(job.id),
          .headers = {{"Host", job.queue.host}, {"Content-Type", "application/json"}},
          .body = std::move(body),
          .timeout = kCallTimeout},
-        [shot](HttpAnswer answer) { shot->set(std::move(answer)); });
-    auto answer = co_await shot->wait(std::chrono::steady_clock::now() + 2 * kCallTimeout);
-    co_return answer ? std::move(*answer) : HttpAnswer{};
+        [result](HttpAnswer response) { result->set(std::move(response)); });
+    auto response = co_await result->wait(std::chrono::steady_clock::now() + 2 * kCallTimeout);
+    co_return response ? std::move(*response) : HttpAnswer{};
 }
 
-/// Hands the job in until it is accepted. Returns whether it was.
+/// Submits the job until it is accepted or the attempts are used up. Returns whether it was
+/// accepted.
 asio::awaitable<bool> Callers::submit(const JobSpec &job)
 {
     m_checker.onSubmitted(job);
     bool mayBeStored = false;
-    for (int tries = 0; tries < kMaxSubmitAttempts; ++tries) {
-        const HttpAnswer answer = co_await call("POST", job, platform::encodeSubmission(job));
-        const bool isAnswered = answer.outcome == HttpAnswer::Outcome::Answered;
-        if (isAnswered && answer.status == kOk) {
+    for (int attempts = 0; attempts < kMaxSubmitAttempts; ++attempts) {
+        const HttpAnswer response = co_await call("POST", job, platform::encodeSubmission(job));
+        const bool hasResponse = response.outcome == HttpAnswer::Outcome::Answered;
+        if (hasResponse && response.status == kOk) {
             ++m_accepted;
             m_checker.onAccepted(job.id);
             co_return true;
         }
-        const bool isUnknown = isAnswered
-            ? answer.status == kGatewayError || answer.status == kOutcomeUnknown
-            : answer.outcome == HttpAnswer::Outcome::Unknown;
+        const bool isUnknown = hasResponse
+            ? response.status == kGatewayError || response.status == kOutcomeUnknown
+            : response.outcome == HttpAnswer::Outcome::Unknown;
         mayBeStored = mayBeStored || isUnknown;
         co_await wait(kRetryDelay);
     }
@@ -133,19 +134,19 @@
         if (wantsCancel && ++polls == 2) {
             m_checker.onCancelSent(job.id);
             for (;;) {
-                const HttpAnswer answer = co_await call("DELETE", job, "");
-                if (answer.outcome == HttpAnswer::Outcome::Answered
-                    && (answer.status == kOk || answer.status == kGone))
+                const HttpAnswer response = co_await call("DELETE", job, "");
+                if (response.outcome == HttpAnswer::Outcome::Answered
+                    && (response.status == kOk || response.status == kGone))
                     break;
                 co_await wait(kRetryDelay);
             }
         }
-        const HttpAnswer answer = co_await call("GET", job, "");
-        if (answer.outcome != HttpAnswer::Outcome::Answered
-            || (answer.status != kOk && answer.status != kGone))
+        const HttpAnswer response = co_await call("GET", job, "");
+        if (response.outcome != HttpAnswer::Outcome::Answered
+            || (response.status != kOk && response.status != kGone))
             continue;
-        const auto state = answer.status == kGone ? std::nullopt
-                                                  : platform::decodeState(answer.body);
+        const auto state = response.status == kGone ? std::nullopt
+                                                    : platform::decodeState(response.body);
         m_checker.onStateReported(job.id, state);
         if (!state || isFinal(*state))
             co_return;
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -16,18 +16,22 @@
 
 namespace oleanderhall::soak {
 
-/// Internal: callers that hand jobs in at any node, ask for their states and cancel some. They
-/// keep their connections until the node closes them.
+/// Internal: simulated callers that submit jobs to random nodes, poll their states and cancel some
+/// of them. Connections stay open until the node closes them.
 class Callers
 {
 public:
-    Callers(boost::asio::io_context &io, Deployment &deployment, InvariantChecker &promises,
+    Callers(boost::asio::io_context &io, Deployment &deployment, InvariantChecker &checker,
             std::uint32_t seed);
 
-    /// Hands in `perSecond` jobs a second for `time`, each with its own caller until it is over.
+    /// Submits `perSecond` jobs a second on average for `time`. Each job has a caller of its own,
+    /// which polls the job until it is finished.
     void start(double perSecond, Millis time);
+    /// Returns how many jobs a node accepted.
     std::size_t accepted() const { return m_accepted; }
+    /// Returns how many jobs were certainly not accepted.
     std::size_t refused() const { return m_refused; }
+    /// Returns how many jobs may have been stored although no node confirmed it.
     std::size_t unknown() const { return m_unknown; }
 
 private:
@@ -43,7 +47,7 @@
     Deployment &m_deployment;
     InvariantChecker &m_checker;
     std::mt19937 m_random;
-    std::map<std::string, std::shared_ptr<HttpClient>> m_clients; ///< By the node's address.
+    std::map<std::string, std::shared_ptr<HttpClient>> m_clients; ///< Keyed by node address.
     std::size_t m_accepted = 0;
     std::size_t m_refused = 0;
     std::size_t m_unknown = 0;
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr Millis kTick{10};
-constexpr Millis kEntryExpiry{1500}; // until a crashed worker's entry is gone
-constexpr int kTablePortOffset = 0; // ports count from the first of the deployment
+constexpr Millis kEntryExpiry{1500}; // from a worker's crash to the removal of its table entry
+// Offsets from DeploymentSettings::firstPort.
+constexpr int kTablePortOffset = 0;
 constexpr int kTableProxyPortOffset = 10;
-constexpr int kNodePortOffset = 20; // three for each node
+constexpr int kNodePortOffset = 20;
 constexpr int kPortsPerNode = 3;
-constexpr int kWorkerPortOffset = 50; // two for each worker
+constexpr int kWorkerPortOffset = 50; // two ports per worker: proxy and server
 constexpr const char *kAddress = "127.0.0.1";
 
 CallerLimits callerLimits()
@@ -46,10 +47,10 @@
 } // namespace
 
 Deployment::Deployment(boost::asio::io_context &io, const DeploymentSettings &settings,
-                       InvariantChecker &promises)
+                       InvariantChecker &checker)
     : m_io(io)
     , m_settings(settings)
-    , m_checker(promises)
+    , m_checker(checker)
     , m_table(io, settings.seed)
     , m_timer(io)
 {
@@ -129,17 +130,17 @@
 {
     Worker &worker = m_workers[static_cast<std::size_t>(index)];
     if (worker.incarnation && !worker.incarnation->isOver())
-        crashWorker(index); // an earlier fault had begun this life
+        crashWorker(index); // an overlapping fault has already restarted this worker
     ++worker.incarnationCount;
     const std::string id = "w" + std::to_string(index) + "-"
         + std::to_string(worker.incarnationCount);
     worker.incarnation = std::make_shared<platform::StandinWorker>(m_io, id, m_checker);
-    const WorkerInfo report{.id = WorkerId(id),
-                            .pool = ServiceId(index % 2 == 0 ? "pool-a" : "pool-b"),
-                            .address = addressAt(worker.port),
-                            .zone = ZoneId("z" + std::to_string(index % 2)),
-                            .capacity = {.milliCores = 8000, .memoryMb = 8192}};
-    m_table.put(platform::kWorkerTable, id, platform::encodeWorker(report));
+    const WorkerInfo info{.id = WorkerId(id),
+                          .pool = ServiceId(index % 2 == 0 ? "pool-a" : "pool-b"),
+                          .address = addressAt(worker.port),
+                          .zone = ZoneId("z" + std::to_string(index % 2)),
+                          .capacity = {.milliCores = 8000, .memoryMb = 8192}};
+    m_table.put(platform::kWorkerTable, id, platform::encodeWorker(info));
 }
 
 void Deployment::crashWorker(int index)
--- a/soak/deployment.h
+++ b/soak/deployment.h
@@ -21,38 +21,39 @@
 
 namespace oleanderhall::soak {
 
-/// Internal: where a deployment lies on this machine, and how large it is.
+/// Internal: programs, folders, ports and size of a deployment on this machine.
 struct DeploymentSettings
 {
-    std::string nodeProgram; ///< The program of the fleet nodes.
-    std::string logFolder; ///< The folder for their logs.
-    std::uint16_t firstPort = 23000; ///< Of about a hundred that follow one another.
+    std::string nodeProgram; ///< Path of the fleet node's executable.
+    std::string logFolder; ///< Folder for the nodes' logs.
+    std::uint16_t firstPort = 23000; ///< First of about a hundred consecutive ports.
     int nodes = 4;
     int workers = 8;
     std::uint32_t seed = 1;
 };
 
-/// Internal: one deployment: fleet nodes as processes of their own, and in this process the table
-/// and the workers that they use, each behind a FaultProxy. One thread.
+/// Internal: fleet nodes as separate processes, with the table and the workers that they use in
+/// this process. Each node's connection to the table and each worker is behind a FaultProxy.
+/// Single-threaded.
 class Deployment
 {
 public:
     Deployment(boost::asio::io_context &io, const DeploymentSettings &settings,
-               InvariantChecker &promises);
+               InvariantChecker &checker);
     ~Deployment();
 
     struct Node
     {
         std::unique_ptr<NodeProcess> process;
-        std::unique_ptr<FaultProxy> tableProxy; ///< Between the node and the table.
-        std::string callerAddress; ///< IP:PORT.
+        std::unique_ptr<FaultProxy> tableProxy; ///< Proxy between the node and the table.
+        std::string callerAddress; ///< IP:PORT of the node's listener for callers.
     };
     struct Worker
     {
         std::shared_ptr<platform::StandinWorker> incarnation;
         std::shared_ptr<CallerServer> server;
         std::unique_ptr<FaultProxy> proxy;
-        std::uint16_t port = 0; ///< Of the proxy.
+        std::uint16_t port = 0; ///< Port of the proxy, which the nodes connect to.
         int incarnationCount = 0;
     };
 
@@ -60,15 +61,16 @@
     std::vector<Worker> &workers() { return m_workers; }
     platform::StandinTable &table() { return m_table; }
     const FleetConfig &config() const { return m_config; }
-    /// The operators' next version: the last with another limit of time.
+    /// Publishes a new configuration version with longer request time limits.
     void changeConfig();
-    /// Ends a worker and everything on it; its entry vanishes after a while.
+    /// Terminates a worker and its runs. Its entry is removed from the worker table after 1.5 s.
     void crashWorker(int index);
-    /// Begins a worker's next life under a new id.
+    /// Starts a new incarnation of a worker under a new id; terminates a running one first.
     void startWorker(int index);
-    /// A row of another writer that no worker wrote.
+    /// Writes an unreadable row to the worker table.
     void writeDamagedRow();
-    /// Starts the nodes that have ended. Returns whether one ended by itself.
+    /// Restarts the nodes that have terminated. Returns whether one terminated without a signal
+    /// from this process.
     bool restartNodes();
 
 private:
@@ -83,7 +85,7 @@
     std::shared_ptr<CallerServer> m_tableServer;
     std::vector<Node> m_nodes;
     std::vector<Worker> m_workers;
-    /// Ended lives: coroutines may still answer for them.
+    /// Terminated incarnations, kept because coroutines may still use them.
     std::vector<std::shared_ptr<platform::StandinWorker>> m_endedIncarnations;
     FleetConfig m_config;
     boost::asio::steady_timer m_timer;
--- a/soak/faultinjector.cpp
+++ b/soak/faultinjector.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr int kMinFaultMs = 200; // ms
-constexpr int kMaxFaultMs = 5000; // ms; past the owner's lease and a task's
-constexpr double kFaultyShare = 0.3; // of transactions
+constexpr int kMinFaultMs = 200;
+constexpr int kMaxFaultMs = 5000; // longer than the leases of the owner and of tasks
+constexpr double kFaultyShare = 0.3; // share of transactions that a table fault hits
 
 } // namespace
 
@@ -73,10 +73,10 @@
         break;
     default:
         schedule(begin, name + " paused", signal(SIGSTOP));
-        schedule(begin + length, name + " goes on", signal(SIGCONT));
+        schedule(begin + length, name + " resumed", signal(SIGCONT));
         return;
     }
-    schedule(begin + length, "ended nodes started", [this] { m_deployment.restartNodes(); });
+    schedule(begin + length, "terminated nodes restarted", [this] { m_deployment.restartNodes(); });
 }
 
 void FaultInjector::planTableFault(Millis begin, Millis length)
@@ -101,18 +101,18 @@
         what += "slow";
         break;
     case 4:
-        schedule(begin, "table forgets its history",
+        schedule(begin, "table discards its change history",
                  [this] { m_deployment.table().forgetHistory(); });
         return;
     default:
-        schedule(begin, "configuration changes, a damaged row", [this] {
+        schedule(begin, "configuration changed, unreadable worker row written", [this] {
             m_deployment.changeConfig();
             m_deployment.writeDamagedRow();
         });
         return;
     }
     schedule(begin, what, [this, fault] { m_deployment.table().setFault(fault); });
-    schedule(begin + length, "table mended", [this] { m_deployment.table().setFault({}); });
+    schedule(begin + length, "table fault ended", [this] { m_deployment.table().setFault({}); });
 }
 
 void FaultInjector::planConnectionFault(Millis begin, Millis length)
@@ -120,25 +120,26 @@
     const bool isNode = m_random() % 2 == 0;
     const auto index = m_random()
         % (isNode ? m_deployment.nodes().size() : m_deployment.workers().size());
-    const std::string name = (isNode ? "link of node " : "link to worker ") + std::to_string(index);
+    const std::string name = (isNode ? "connection of node " : "connection to worker ")
+        + std::to_string(index);
     const auto proxy = [this, isNode, index]() -> FaultProxy & {
         return isNode ? *m_deployment.nodes()[index].tableProxy
                       : *m_deployment.workers()[index].proxy;
     };
     const auto setMode = [&](FaultProxy::Mode mode, const char *what) {
         schedule(begin, name + what, [proxy, mode] { proxy().setMode(mode); });
-        schedule(begin + length, name + " mended",
+        schedule(begin + length, name + " fault ended",
                  [proxy] { proxy().setMode(FaultProxy::Mode::Pass); });
     };
     switch (m_random() % 5) {
     case 0:
-        setMode(FaultProxy::Mode::Stall, " silent");
+        setMode(FaultProxy::Mode::Stall, " stalled");
         break;
     case 1:
         setMode(FaultProxy::Mode::LoseResponses, " loses answers");
         break;
     case 2:
-        setMode(FaultProxy::Mode::Refuse, " refuses, and resets what is open");
+        setMode(FaultProxy::Mode::Refuse, " refuses new connections");
         schedule(begin, name + " reset", [proxy] { proxy().resetConnections(); });
         break;
     case 3:
@@ -147,7 +148,7 @@
     default: {
         const Millis delay(50 + static_cast<int>(m_random() % 600));
         schedule(begin, name + " slow", [proxy, delay] { proxy().setDelay(delay); });
-        schedule(begin + length, name + " fast again", [proxy] { proxy().setDelay(Millis(0)); });
+        schedule(begin + length, name + " delay ended", [proxy] { proxy().setDelay(Millis(0)); });
         break;
     }
     }
@@ -158,7 +159,7 @@
     const auto index = static_cast<int>(m_random() % m_deployment.workers().size());
     const std::string name = "worker " + std::to_string(index);
     schedule(begin, name + " crashes", [this, index] { m_deployment.crashWorker(index); });
-    schedule(begin + length, name + " begins a new life",
+    schedule(begin + length, name + " restarts",
              [this, index] { m_deployment.startWorker(index); });
 }
 
--- a/soak/faultinjector.h
+++ b/soak/faultinjector.h
@@ -10,17 +10,19 @@
 
 namespace oleanderhall::soak {
 
-/// Internal: a series of faults that a seed determines; they come in a row and overlap.
+/// Internal: injects a random sequence of faults, which the seed determines. Faults may overlap.
 class FaultInjector
 {
 public:
     FaultInjector(boost::asio::io_context &io, Deployment &deployment, std::uint32_t seed);
 
-    /// Plans `count` faults between `from` and `to` from now; each is over by then.
+    /// Schedules `count` faults that begin between `from` and `to` from now. Each ends by `to`, but
+    /// lasts at least 200 ms.
     void plan(int count, Millis from, Millis to);
-    /// Ends every fault: the table, the proxies and the processes are as at the start.
+    /// Ends the faults of the table and the proxies and resumes paused nodes. Neither nodes nor
+    /// workers that have terminated are restarted.
     void clearAll();
-    /// Returns what was done, with the time of each in ms.
+    /// Returns the injected faults in order, each with its scheduled time in ms.
     const std::vector<std::string> &history() const { return m_history; }
 
 private:
--- a/soak/faultproxy.cpp
+++ b/soak/faultproxy.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t kBufferBytes = 16384;
-constexpr Millis kModeCheck{20};
+constexpr Millis kModeCheckInterval{20};
 
 asio::awaitable<void> wait(asio::io_context &io, Millis time)
 {
@@ -33,35 +33,35 @@
 asio::awaitable<void> FaultProxy::accept()
 {
     for (;;) {
-        auto link = std::make_shared<Connection>(m_io);
-        co_await m_acceptor.async_accept(link->client, asio::use_awaitable);
+        auto connection = std::make_shared<Connection>(m_io);
+        co_await m_acceptor.async_accept(connection->client, asio::use_awaitable);
         std::erase_if(m_connections, [](const auto &known) { return known.expired(); });
-        m_connections.push_back(link);
-        asio::co_spawn(m_io, serve(link), asio::detached);
+        m_connections.push_back(connection);
+        asio::co_spawn(m_io, serve(connection), asio::detached);
     }
 }
 
-asio::awaitable<void> FaultProxy::serve(ConnectionPtr link)
+asio::awaitable<void> FaultProxy::serve(ConnectionPtr connection)
 {
     if (m_mode == Mode::Refuse) {
-        close(*link);
+        close(*connection);
         co_return;
     }
     boost::system::error_code failed;
-    co_await link->server.async_connect({asio::ip::make_address("127.0.0.1"), m_target},
-                                        asio::redirect_error(asio::use_awaitable, failed));
+    co_await connection->server.async_connect({asio::ip::make_address("127.0.0.1"), m_target},
+                                              asio::redirect_error(asio::use_awaitable, failed));
     if (failed) {
-        close(*link);
+        close(*connection);
         co_return;
     }
-    asio::co_spawn(m_io, pump(link, true), asio::detached);
-    co_await pump(link, false);
+    asio::co_spawn(m_io, pump(connection, true), asio::detached);
+    co_await pump(connection, false);
 }
 
-asio::awaitable<void> FaultProxy::pump(ConnectionPtr link, bool isAnswer)
+asio::awaitable<void> FaultProxy::pump(ConnectionPtr connection, bool isResponse)
 {
-    tcp::socket &from = isAnswer ? link->server : link->client;
-    tcp::socket &to = isAnswer ? link->client : link->server;
+    tcp::socket &from = isResponse ? connection->server : connection->client;
+    tcp::socket &to = isResponse ? connection->client : connection->server;
     std::array<char, kBufferBytes> buffer{};
     boost::system::error_code failed;
     while (!failed) {
@@ -72,28 +72,29 @@
         if (m_delay.count() > 0)
             co_await wait(m_io, m_delay);
         while (m_mode == Mode::Stall)
-            co_await wait(m_io, kModeCheck);
-        link->losesResponses = link->losesResponses || (isAnswer && m_mode == Mode::LoseResponses);
-        if (isAnswer && link->losesResponses)
-            continue; // what follows would be taken for the answer that was lost
+            co_await wait(m_io, kModeCheckInterval);
+        connection->losesResponses = connection->losesResponses
+            || (isResponse && m_mode == Mode::LoseResponses);
+        if (isResponse && connection->losesResponses)
+            continue; // the client would take a later response for the lost one
         co_await asio::async_write(to, asio::buffer(buffer, size),
                                    asio::redirect_error(asio::use_awaitable, failed));
     }
-    close(*link);
+    close(*connection);
 }
 
 void FaultProxy::resetConnections()
 {
     for (const auto &known : m_connections) {
-        if (const auto link = known.lock())
-            close(*link);
+        if (const auto connection = known.lock())
+            close(*connection);
     }
 }
 
-void FaultProxy::close(Connection &link)
+void FaultProxy::close(Connection &connection)
 {
     boost::system::error_code ignored;
-    for (tcp::socket *socket : {&link.client, &link.server}) {
+    for (tcp::socket *socket : {&connection.client, &connection.server}) {
         socket->set_option(asio::socket_base::linger(true, 0), ignored);
         socket->close(ignored);
     }
--- a/soak/faultproxy.h
+++ b/soak/faultproxy.h
@@ -14,21 +14,22 @@
 
 namespace oleanderhall::soak {
 
-/// Internal: a loopback proxy in front of one server that harms the connections through it. One
-/// thread; it must outlive its io_context's run.
+/// Internal: a loopback TCP proxy in front of one server that injects faults into its connections.
+/// Single-threaded; it must outlive the run of its io_context.
 class FaultProxy
 {
 public:
     enum class Mode {
         Pass,
-        Stall, ///< Bytes stay on the way, in both directions, and arrive afterwards.
-        LoseResponses, ///< Requests arrive; their answers never do, on these connections.
-        Refuse, ///< New connections are reset.
+        Stall, ///< Holds back data in both directions until the mode changes.
+        LoseResponses, ///< Delivers requests and discards all further responses of the connection.
+        Refuse, ///< Resets new connections; open ones are unaffected.
     };
 
     FaultProxy(boost::asio::io_context &io, std::uint16_t port, std::uint16_t target);
 
     void setMode(Mode mode) { m_mode = mode; }
+    /// Delays each chunk of data, in both directions.
     void setDelay(Millis delay) { m_delay = delay; }
     /// Resets all open connections.
     void resetConnections();
@@ -48,9 +49,9 @@
     using ConnectionPtr = std::shared_ptr<Connection>;
 
     boost::asio::awaitable<void> accept();
-    boost::asio::awaitable<void> serve(ConnectionPtr link);
-    boost::asio::awaitable<void> pump(ConnectionPtr link, bool isAnswer);
-    static void close(Connection &link);
+    boost::asio::awaitable<void> serve(ConnectionPtr connection);
+    boost::asio::awaitable<void> pump(ConnectionPtr connection, bool isResponse);
+    static void close(Connection &connection);
 
     boost::asio::io_context &m_io;
     boost::asio::ip::tcp::acceptor m_acceptor;
--- a/soak/invariantchecker.cpp
+++ b/soak/invariantchecker.cpp
@@ -24,7 +24,7 @@
     m_jobs[id].isRefused = true;
     for (const auto &[task, state] : m_tasks) {
         if (task.job == id && (!state.running.empty() || !state.outcomes.empty()))
-            addViolation(textOf(id) + " was refused, and has run");
+            addViolation(textOf(id) + " was refused but has run");
     }
 }
 
@@ -37,27 +37,28 @@
 {
     Job &job = m_jobs[id];
     if (!state) {
-        addViolation(textOf(id) + " was accepted, and is said not to exist");
+        addViolation(textOf(id) + " was accepted but is reported as not existing");
         return;
     }
     if (job.reportedState && isFinal(*job.reportedState) && *state != *job.reportedState)
-        addViolation(textOf(id) + " changed its state after it was over");
+        addViolation(textOf(id) + " changed its state after it was final");
     job.reportedState = state;
     if (*state == JobState::Completed) {
         for (int step = 0; step < static_cast<int>(job.spec.steps.size()); ++step) {
             if (!isStepDone(job, step))
-                addViolation(textOf(id) + " is said to be completed, and step "
-                             + std::to_string(step) + " is not");
+                addViolation(textOf(id) + " is reported as completed, but step "
+                             + std::to_string(step) + " is not done");
         }
     }
     if (*state == JobState::Cancelled && !job.isCancelSent)
-        addViolation(textOf(id) + " is said to be cancelled, and nobody did");
+        addViolation(textOf(id) + " is reported as cancelled, but no caller cancelled it");
     if (*state == JobState::Failed) {
         const bool hasCause = std::any_of(m_tasks.begin(), m_tasks.end(), [&](const auto &entry) {
             return entry.first.job == id && entry.second.failures >= job.spec.queue.maxAttempts;
         });
         if (!hasCause)
-            addViolation(textOf(id) + " is said to have failed without cause");
+            addViolation(textOf(id)
+                         + " is reported as failed, but no task failed in all its attempts");
     }
 }
 
@@ -78,26 +79,25 @@
     const auto found = m_jobs.find(id.job);
     if (found == m_jobs.end() || id.step >= static_cast<int>(found->second.spec.steps.size())
         || id.index >= found->second.spec.steps[static_cast<std::size_t>(id.step)].count) {
-        addViolation(name + " was started, and nobody asked for it");
+        addViolation(name + " was started, but no submitted job has this task");
         return;
     }
     const Job &job = found->second;
     Task &task = m_tasks[id];
     if (job.isRefused)
-        addViolation(name + " was started, and its job was refused");
+        addViolation(name + " was started, but its job was refused");
     for (const auto &[otherRun, otherWorker] : task.running) {
         std::string what = name;
-        what += " was started while run " + std::to_string(otherRun) + " is at work on "
-            + otherWorker;
+        what += " was started while run " + std::to_string(otherRun) + " runs on " + otherWorker;
         addViolation(what);
     }
     if (task.isDoneAcknowledged)
-        addViolation(name + " was started after its end was noted");
+        addViolation(name + " was started after its completion was acknowledged");
     if (task.acknowledgedFailures >= job.spec.queue.maxAttempts)
         addViolation(name + " was started after all its attempts had failed");
-    for (const int earlier : job.spec.steps[static_cast<std::size_t>(id.step)].after) {
-        if (!isStepDone(job, earlier))
-            addViolation(name + " was started before step " + std::to_string(earlier)
+    for (const int dependency : job.spec.steps[static_cast<std::size_t>(id.step)].after) {
+        if (!isStepDone(job, dependency))
+            addViolation(name + " was started before step " + std::to_string(dependency)
                          + " was done");
     }
     task.running[run] = worker;
@@ -140,13 +140,13 @@
 void InvariantChecker::checkFinalState()
 {
     for (const JobId id : unfinishedJobs())
-        addViolation(textOf(id) + " was accepted, and is not over");
+        addViolation(textOf(id) + " was accepted but is not finished");
     for (const auto &[id, task] : m_tasks) {
         const Job &job = m_jobs[id.job];
         for (const auto &[run, worker] : task.running) {
             if (job.reportedState && isFinal(*job.reportedState))
-                addViolation(textOf(id) + " run " + std::to_string(run) + " works on at " + worker
-                             + ", and its job is over");
+                addViolation(textOf(id) + " run " + std::to_string(run) + " still runs on " + worker
+                             + " after its job finished");
         }
     }
 }
--- a/soak/invariantchecker.h
+++ b/soak/invariantchecker.h
@@ -13,28 +13,30 @@
 
 namespace oleanderhall::soak {
 
-/// Internal: checks what callers and workers see against the promises: no task runs twice, in the
-/// wrong order, too often, unasked or after a refusal, and no accepted job is lost or told wrongly.
+/// Internal: checks invariants on what callers and workers observe. No task runs twice at a time,
+/// before the steps that it depends on, more often than allowed, without a job or after its job was
+/// refused. No accepted job is lost or reported with a wrong state.
 class InvariantChecker : public platform::RunObserver
 {
 public:
-    // What callers do and hear.
+    // Events at callers.
     void onSubmitted(const JobSpec &job);
     void onAccepted(JobId id);
-    /// Every attempt to hand the job in was refused, so that it must never run.
+    /// Every attempt to submit the job was refused, so it must never run.
     void onRefused(JobId id);
     void onCancelSent(JobId id);
-    /// A caller was told the state; nothing: that there is no such job.
+    /// A caller received the job's state, or nullopt when the node reported no such job.
     void onStateReported(JobId id, std::optional<JobState> state);
 
-    // What workers see.
+    // Events at workers.
     void started(const TaskId &task, std::int64_t run, const std::string &worker) override;
     void ended(const TaskId &task, std::int64_t run, RunOutcome end) override;
     void endNoted(const TaskId &task, std::int64_t run) override;
 
-    /// Checks, when all faults are over and time was left, that nothing is open.
+    /// Checks that every accepted job is finished and none of its tasks still runs. Call it when
+    /// all faults have ended and the jobs had time to finish.
     void checkFinalState();
-    /// Returns whether every accepted job was told to be over.
+    /// Returns whether every accepted job was reported in a final state.
     bool areAllJobsFinished() const;
     std::vector<JobId> unfinishedJobs() const;
     const std::vector<std::string> &violations() const { return m_violations; }
@@ -51,7 +53,7 @@
     };
     struct Task
     {
-        std::map<std::int64_t, std::string> running; ///< Run and its worker.
+        std::map<std::int64_t, std::string> running; ///< Worker by run number.
         std::map<std::int64_t, RunOutcome> outcomes;
         bool isDone = false;
         bool isDoneAcknowledged = false;
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -1,5 +1,5 @@
-// A soak of fleet nodes as separate processes: random faults by seed, and a check of the promises
-// while it runs. See docs/ADVANCED.md.
+// Soak test of fleet nodes that run as separate processes: injects random faults, which a seed
+// determines, and checks invariants during the run. See docs/ADVANCED.md.
 #include "callers.h"
 #include "deployment.h"
 #include "faultinjector.h"
@@ -20,16 +20,16 @@
 
 namespace {
 
-constexpr Millis kStartupTime{4000}; // nodes start, one becomes the owner
+constexpr Millis kStartupTime{4000}; // until the nodes are up and one is the owner
 constexpr Millis kCheckInterval{100};
-/// After the last fault: a lost lease, a change of owner and what then waits for a worker that
-/// can't be read (7 s), and the work itself.
+/// Time for all jobs to finish after the last fault. Covers a lost lease, a change of owner, the
+/// wait for a worker that can't be read (7 s) and the work itself.
 constexpr Millis kFinishTimeout{40000};
 
 struct Settings
 {
     DeploymentSettings deployment;
-    int faultSeconds = 15; ///< With faults.
+    int faultSeconds = 15; ///< Length of the phase with faults.
     int faultCount = 14;
     double jobsPerSecond = 6;
 };
@@ -40,15 +40,15 @@
     io.restart();
 }
 
-/// Returns whether every promise held.
+/// Returns whether no invariant was violated and no node crashed.
 bool runSeed(const Settings &settings)
 {
     std::filesystem::create_directories(settings.deployment.logFolder);
     boost::asio::io_context io{1};
-    InvariantChecker promises;
-    Deployment deployment(io, settings.deployment, promises);
+    InvariantChecker checker;
+    Deployment deployment(io, settings.deployment, checker);
     run(io, kStartupTime);
-    Callers callers(io, deployment, promises, settings.deployment.seed);
+    Callers callers(io, deployment, checker, settings.deployment.seed);
     FaultInjector faults(io, deployment, settings.deployment.seed);
     const Millis time = std::chrono::seconds(settings.faultSeconds);
     callers.start(settings.jobsPerSecond, time);
@@ -57,21 +57,21 @@
     faults.clearAll();
     bool hasCrashed = deployment.restartNodes();
     Millis waited{0};
-    for (; waited < kFinishTimeout && !promises.areAllJobsFinished(); waited += kCheckInterval)
+    for (; waited < kFinishTimeout && !checker.areAllJobsFinished(); waited += kCheckInterval)
         run(io, kCheckInterval);
-    run(io, Millis(1500)); // stops of what is left
+    run(io, Millis(1500)); // lets stop commands reach the remaining runs
     hasCrashed = deployment.restartNodes() || hasCrashed;
-    promises.checkFinalState();
-    const bool holds = promises.violations().empty() && !hasCrashed;
+    checker.checkFinalState();
+    const bool holds = checker.violations().empty() && !hasCrashed;
     std::cout << "seed " << settings.deployment.seed << ": " << callers.accepted()
               << " jobs accepted, " << callers.refused() << " refused, " << callers.unknown()
-              << " unknown; " << promises.runs() << " runs; finished " << waited.count()
+              << " unknown; " << checker.runs() << " runs; finished " << waited.count()
               << " ms after the last fault; " << (holds ? "holds" : "BROKEN") << std::endl;
     if (holds)
         return true;
     if (hasCrashed)
-        std::cout << "  a node ended by itself\n";
-    for (const std::string &violation : promises.violations())
+        std::cout << "  a node terminated unexpectedly\n";
+    for (const std::string &violation : checker.violations())
         std::cout << "  " << violation << "\n";
     for (const std::string &fault : faults.history())
         std::cout << "  fault at " << fault << "\n";
@@ -79,7 +79,7 @@
     return false;
 }
 
-/// Reads the seeds that once failed: a number at the start of each line.
+/// Reads the seeds of earlier failures: a number at the start of each line.
 std::vector<std::uint32_t> readSeeds(const std::string &file)
 {
     std::vector<std::uint32_t> seeds;
@@ -101,33 +101,36 @@
     std::string seedFile;
     std::uint32_t first = 1;
     int count = 1;
-    app.add_option("--node", settings.deployment.nodeProgram, "Program of the nodes")->required();
+    app.add_option("--node", settings.deployment.nodeProgram, "Executable of the fleet nodes")
+        ->required();
     app.add_option("--logs", settings.deployment.logFolder, "Folder for the nodes' logs")
         ->required();
-    app.add_option("--first-port", settings.deployment.firstPort, "First of a hundred ports");
-    app.add_option("--nodes", settings.deployment.nodes, "Fleet nodes")->check(CLI::Range(1, 10));
+    app.add_option("--first-port", settings.deployment.firstPort, "First of 100 consecutive ports");
+    app.add_option("--nodes", settings.deployment.nodes, "Number of fleet nodes")
+        ->check(CLI::Range(1, 10));
     app.add_option("--workers", settings.deployment.workers, "Workers")->check(CLI::Range(2, 24));
     app.add_option("--seed", first, "First seed");
-    app.add_option("--seeds", count, "How many seeds, one after another");
-    app.add_option("--seed-file", seedFile, "Seeds that failed before; they run first");
-    app.add_option("--seconds", settings.faultSeconds, "Time with faults")
+    app.add_option("--seeds", count, "Number of consecutive seeds to run");
+    app.add_option("--seed-file", seedFile, "File with seeds of earlier failures; they run first");
+    app.add_option("--seconds", settings.faultSeconds,
+                   "Length of the phase with faults, in seconds")
         ->check(CLI::Range(2, 600));
-    app.add_option("--faults", settings.faultCount, "Faults in that time");
-    app.add_option("--jobs-per-second", settings.jobsPerSecond, "Jobs that arrive");
+    app.add_option("--faults", settings.faultCount, "Number of faults");
+    app.add_option("--jobs-per-second", settings.jobsPerSecond, "Jobs submitted per second");
     CLI11_PARSE(app, argc, argv);
     std::signal(SIGPIPE, SIG_IGN);
     std::vector<std::uint32_t> seeds = readSeeds(seedFile);
     for (int index = 0; index < count; ++index)
         seeds.push_back(first + static_cast<std::uint32_t>(index));
     const std::string logs = settings.deployment.logFolder;
-    int broken = 0;
+    int failedSeeds = 0;
     for (const std::uint32_t seed : seeds) {
         settings.deployment.seed = seed;
         settings.deployment.logFolder = logs + "/seed-" + std::to_string(seed);
-        broken += runSeed(settings) ? 0 : 1;
+        failedSeeds += runSeed(settings) ? 0 : 1;
     }
-    std::cout << seeds.size() << " seeds, " << broken << " with a promise broken\n";
-    return broken == 0 ? 0 : 1;
+    std::cout << seeds.size() << " seeds, " << failedSeeds << " with violations\n";
+    return failedSeeds == 0 ? 0 : 1;
 }
 
 } // namespace
--- a/soak/nodeprocess.cpp
+++ b/soak/nodeprocess.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-constexpr int kLogMode = 0644;
+constexpr int kLogFileMode = 0644;
 
 } // namespace
 
-NodeProcess::NodeProcess(std::vector<std::string> command, std::string log)
+NodeProcess::NodeProcess(std::vector<std::string> command, std::string logFile)
     : m_command(std::move(command))
-    , m_logFile(std::move(log))
+    , m_logFile(std::move(logFile))
 {}
 
 NodeProcess::~NodeProcess()
@@ -38,7 +38,7 @@
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_logFile.c_str(),
-                                     O_WRONLY | O_CREAT | O_APPEND, kLogMode);
+                                     O_WRONLY | O_CREAT | O_APPEND, kLogFileMode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
     const int failed = posix_spawn(&m_pid, arguments.front(), &actions, nullptr, arguments.data(),
                                    environ);
--- a/soak/nodeprocess.h
+++ b/soak/nodeprocess.h
@@ -6,23 +6,24 @@
 
 namespace oleanderhall::soak {
 
-/// Internal: one fleet node as a process of its own, started and signalled by its process id. Its
-/// destructor kills it.
+/// Internal: a fleet node as a child process. The destructor kills it.
 class NodeProcess
 {
 public:
-    /// `command` is the program and its arguments; output is appended to the file `log`.
-    NodeProcess(std::vector<std::string> command, std::string log);
+    /// `command` is the executable and its arguments. Standard output and error are appended to the
+    /// file `logFile`.
+    NodeProcess(std::vector<std::string> command, std::string logFile);
     ~NodeProcess();
     NodeProcess(const NodeProcess &) = delete;
     NodeProcess &operator=(const NodeProcess &) = delete;
 
     /// Throws std::system_error when the program can't be started.
     void start();
+    /// Sends a signal; does nothing when the process has not been started or its exit is known.
     void signal(int number) const;
-    /// Returns whether the process runs; takes its exit status when it has ended.
+    /// Returns whether the process runs; reaps it when it has terminated.
     bool isRunning();
-    /// Returns whether the process ended by itself, that is without SIGKILL or SIGTERM from here.
+    /// Returns whether the process ever terminated without SIGKILL or SIGTERM from this object.
     bool hasCrashed() const { return m_hasCrashed; }
 
 private:
