--- a/apps/cli/entryclient.cpp
+++ b/apps/cli/entryclient.cpp
@@ -40,7 +40,7 @@
             failures += url + ": " + error.what() + "; ";
         }
     }
-    throw std::runtime_error("no entry host answered: " + failures);
+    throw std::runtime_error("no entry host responded: " + failures);
 }
 
 EntryResponse EntryClient::getFromAny(const std::string &path) const
@@ -56,7 +56,7 @@
             return last;
     }
     if (last.status == 0)
-        throw std::runtime_error("no entry host answered");
+        throw std::runtime_error("no entry host responded");
     return last;
 }
 
@@ -66,23 +66,23 @@
     EntryResponse merged;
     std::map<std::string, web::json::value> elements;
     for (const std::string &url : m_urls) {
-        EntryResponse response;
+        EntryResponse entryResponse;
         try {
-            response = getFrom(url, path);
+            entryResponse = getFrom(url, path);
         } catch (const std::exception &) {
             continue;
         }
-        merged.status = response.status;
-        if (response.status != kStatusOk)
-            return response;
-        for (const web::json::value &element : response.body.at(key).as_array()) {
+        merged.status = entryResponse.status;
+        if (entryResponse.status != kStatusOk)
+            return entryResponse;
+        for (const web::json::value &element : entryResponse.body.at(key).as_array()) {
             const std::string name = element.at(id).as_string();
             if (!elements.contains(name) || element.has_field(preferred))
                 elements[name] = element;
         }
     }
     if (merged.status == 0)
-        throw std::runtime_error("no entry host answered");
+        throw std::runtime_error("no entry host responded");
     web::json::value array = web::json::value::array(elements.size());
     std::size_t index = 0;
     for (const auto &[name, element] : elements)
@@ -101,7 +101,7 @@
         return call(m_urls.front(), request);
     } catch (const std::exception &error) {
         throw std::runtime_error(m_urls.front() + ": " + error.what()
-                                 + "; the change may have been made: look at the status");
+                                 + "; the change may have been made: check the status");
     }
 }
 
--- a/apps/cli/entryclient.h
+++ b/apps/cli/entryclient.h
@@ -7,15 +7,15 @@
 
 namespace cli {
 
-/// The answer of an entry host to an operator's call.
+/// An entry host's response to an operator's request: HTTP status and JSON body.
 struct EntryResponse
 {
     int status = 0;
     web::json::value body;
 };
 
-/// An EntryClient calls the operators' side of entry hosts. Reads go to the first that answers;
-/// changes go to one only, because a change whose answer was lost may have been made.
+/// An EntryClient sends requests to the operators' API of entry hosts. All functions block for up
+/// to 15 s per entry host and throw std::runtime_error when no entry host responds.
 class EntryClient
 {
 public:
@@ -23,14 +23,19 @@
         : m_urls(std::move(urls))
     {}
 
+    /// Tries the entry hosts in order and returns the first response, whatever its status.
     EntryResponse get(const std::string &path) const;
-    /// Asks all entry hosts and returns the first answer with status 200, else the last one.
+    /// Tries the entry hosts in order until one responds with status 200; else returns the last
+    /// response.
     EntryResponse getFromAny(const std::string &path) const;
-    /// Asks all entry hosts and joins the array `key` of their answers, one element for each `id`;
-    /// an element that has the member `preferred` goes first. Each entry host knows only why hosts
-    /// of its own pools wait.
+    /// Queries all entry hosts and merges the array `key` of their responses by the member `id` of
+    /// its elements. An element with the member `preferred` replaces one without it, because each
+    /// entry host knows only why hosts of its own pools wait. Returns a response with another
+    /// status than 200 as it is; skips entry hosts that don't respond.
     EntryResponse getMerged(const std::string &path, const std::string &key, const std::string &id,
                             const std::string &preferred) const;
+    /// Sends a change to the first entry host only: a change whose response was lost may have been
+    /// made, so it isn't repeated at another one.
     EntryResponse post(const std::string &path, const web::json::value &body, bool isDryRun) const;
 
 private:
--- a/apps/cli/main.cpp
+++ b/apps/cli/main.cpp
@@ -1,5 +1,6 @@
-// The operators' command line. Exit codes: 0 done, 1 not reachable or outcome unknown, 2 wrong
-// usage, 3 the document or request has findings, 4 another operator's change came first.
+// The operators' command line. Exit codes: 0 success, 1 entry host not reachable or outcome
+// unknown, 2 usage error, 3 the document or request is invalid or names something unknown, 4
+// conflict with another operator's change.
 #include "entryclient.h"
 #include "report.h"
 
@@ -130,11 +131,11 @@
     const std::string path = "/v1/explain/" + arguments.kind + "/" + arguments.name;
     if (arguments.kind != "request")
         return printResponse(client.get(path), arguments, printExplanation);
-    // Only the entry host that served a request recorded it.
+    // Only the entry host that handled a request has its record.
     return printResponse(client.getFromAny(path), arguments, printRequest);
 }
 
-/// Adds the subcommands; each sets `run` to what it does.
+/// Adds the subcommands. The callback of the parsed one sets `run` to its action.
 void addCommands(CLI::App &app, Arguments &arguments, std::function<int(const EntryClient &)> &run)
 {
     const auto documents = [&arguments](CLI::App *command) {
--- a/apps/cli/report.h
+++ b/apps/cli/report.h
@@ -4,13 +4,13 @@
 
 namespace cli {
 
-/// Each prints an entry host's answer as text for people.
+/// These functions print the body of an entry host's response as human-readable text.
 void printStatus(const web::json::value &body);
 void printPlan(const web::json::value &body);
 void printChange(const web::json::value &body);
 void printExplanation(const web::json::value &body);
 void printRequest(const web::json::value &body);
-/// Prints an answer that is not a success, with all its findings, to standard error.
+/// Prints the body of an error response, with all its findings, to standard error.
 void printProblem(const web::json::value &body);
 
 } // namespace cli
--- a/apps/load/attempt.h
+++ b/apps/load/attempt.h
@@ -6,7 +6,7 @@
 
 namespace load {
 
-/// One try of a caller's operation at an entry host, as it stands in a history file. Times are
+/// One attempt of a caller's operation at an entry host, as stored in a history file. Times are
 /// microseconds of the monotonic clock, which all processes of one machine share.
 struct Attempt
 {
@@ -17,19 +17,21 @@
     bool isUnrepeatable = false;
     std::int64_t sentUs = 0;
     std::int64_t doneUs = 0;
-    int status = 0; ///< Zero when no whole answer came.
-    std::string executionStatus = "-"; ///< "no", "yes" or "unknown" of a refusal.
+    int status = 0; ///< HTTP status; zero without a complete response.
+    std::string executionStatus = "-"; ///< "no", "yes" or "unknown" for a refusal.
     std::string reason = "-";
-    std::string respondedRequestId = "-"; ///< The request that the answer says it is for.
+    std::string respondedRequestId = "-"; ///< Request id in the response's body.
 
-    /// The id under which upstreams record the run of this try.
+    /// Returns the id under which upstreams record the execution of this attempt.
     std::string requestId() const { return operation + "." + std::to_string(number); }
-    bool isSuccess() const { return status >= 200 && executionStatus == "-"; }
+    /// Returns whether an upstream's response arrived, of whatever status, and no refusal.
+    bool hasUpstreamResponse() const { return status >= 200 && executionStatus == "-"; }
 };
 
-/// Writes attempts as text, one a line.
+/// Writes attempts as text, one per line. Throws std::runtime_error when the file can't be written.
 void writeHistory(const std::string &path, const std::vector<Attempt> &attempts);
-/// Reads what writeHistory() wrote. Throws std::runtime_error on a malformed line.
+/// Reads a file from writeHistory(). Throws std::runtime_error when the file can't be read or has a
+/// malformed line.
 std::vector<Attempt> readHistory(const std::string &path);
 
 } // namespace load
--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kHttpVersion = 11;
 constexpr std::chrono::milliseconds kReadinessPeriod{200};
-constexpr std::chrono::milliseconds kResponseMargin{1500}; // beyond the time limit in the request
+constexpr std::chrono::milliseconds kResponseMargin{1500}; // wait beyond the request's time limit
 constexpr int kMaxRetryAfterMs = 2000;
 constexpr int kPercent = 100;
 
@@ -42,7 +42,7 @@
             static_cast<std::uint16_t>(std::stoi(text.substr(colon + 1)))};
 }
 
-/// Makes one exchange on a connection of its own. Throws when no whole answer comes.
+/// Sends a request over a new connection. Throws when no complete response arrives within `limit`.
 asio::awaitable<Response> exchange(asio::ip::tcp::endpoint address, Request request,
                                    std::chrono::milliseconds limit)
 {
@@ -119,12 +119,12 @@
         const Operation operation = nextOperation();
         ++m_openOperations;
         asio::co_spawn(m_io, perform(operation, 0), asio::detached);
-        const bool isTwin = operation.isUnrepeatable
+        const bool isDuplicated = operation.isUnrepeatable
             && static_cast<int>(m_random() % kPercent) < m_settings.duplicatePercent;
-        if (isTwin) {
-            constexpr int kTwinNumber = 100; // so that its tries have ids of their own
+        if (isDuplicated) {
+            constexpr int kDuplicateNumber = 100; // keeps the attempts' request ids distinct
             ++m_openOperations;
-            asio::co_spawn(m_io, perform(operation, kTwinNumber), asio::detached);
+            asio::co_spawn(m_io, perform(operation, kDuplicateNumber), asio::detached);
         }
     }
     while (m_openOperations > 0)
@@ -150,11 +150,11 @@
 
 asio::awaitable<void> Callers::perform(Operation operation, int firstNumber)
 {
-    for (int tries = 0; tries < m_settings.maxAttempts; ++tries) {
-        const Attempt attempt = co_await sendAttempt(operation, firstNumber + tries,
+    for (int attempts = 0; attempts < m_settings.maxAttempts; ++attempts) {
+        const Attempt attempt = co_await sendAttempt(operation, firstNumber + attempts,
                                                      pickEntryHost());
         record(attempt);
-        if (attempt.isSuccess())
+        if (attempt.hasUpstreamResponse())
             break;
         co_await pause(std::chrono::milliseconds(200 + static_cast<int>(m_random() % 300)));
     }
--- a/apps/load/callers.h
+++ b/apps/load/callers.h
@@ -18,29 +18,30 @@
 
 namespace load {
 
-/// What a run of Callers sends.
+/// The entry hosts and the mix of requests of a Callers run.
 struct CallerSettings
 {
-    std::vector<std::string> entries; ///< IP:PORT of the callers' sides.
+    std::vector<std::string> entries; ///< IP:PORT of the entry hosts' listeners for callers.
     double ratePerSecond = 100;
     int seconds = 10;
     int unrepeatablePercent = 30;
-    int duplicatePercent = 5; ///< Unrepeatable operations sent to two entry hosts at once.
+    int duplicatePercent = 5; ///< Share of unrepeatable operations sent twice at once.
     int workMs = 5;
     int timeoutMs = 2000;
     int maxAttempts = 3;
     std::uint32_t seed = 1;
 };
 
-/// Callers send operations at a steady rate, whatever becomes of earlier ones, through the entry
-/// hosts that say they are ready. They retry as careful callers do: with the same key, at another
-/// entry host, after the time that a refusal names.
+/// Callers generate an open load: operations start at a steady rate, independent of the outcome of
+/// earlier ones, at entry hosts that report to be ready. An attempt without an upstream's response
+/// is retried with the same idempotency key, at a ready entry host chosen anew, after a random
+/// delay of 200 to 499 ms.
 class Callers
 {
 public:
     Callers(CallerSettings settings, const oleanderhall::Register &config);
 
-    /// Runs to the end and returns every attempt.
+    /// Runs until the last operation has ended and returns all attempts. Blocks.
     std::vector<Attempt> run();
 
 private:
--- a/apps/load/figures.cpp
+++ b/apps/load/figures.cpp
@@ -24,38 +24,40 @@
 void printStatistics(const std::vector<Attempt> &attempts)
 {
     std::map<std::string, int> refusals;
-    std::vector<std::int64_t> answered;
-    std::vector<std::int64_t> refused;
+    std::vector<std::int64_t> responseLatencies;
+    std::vector<std::int64_t> refusalLatencies;
     std::set<std::string> operations;
-    std::set<std::string> done;
-    int noAnswer = 0;
-    int unknown = 0;
+    std::set<std::string> doneOperations;
+    int withoutResponse = 0;
+    int unknownOutcomes = 0;
     for (const Attempt &attempt : attempts) {
         operations.insert(attempt.operation);
         if (attempt.status == 0) {
-            ++noAnswer;
-        } else if (attempt.isSuccess()) {
-            answered.push_back(attempt.doneUs - attempt.sentUs);
-            done.insert(attempt.operation);
+            ++withoutResponse;
+        } else if (attempt.hasUpstreamResponse()) {
+            responseLatencies.push_back(attempt.doneUs - attempt.sentUs);
+            doneOperations.insert(attempt.operation);
         } else {
             ++refusals[attempt.reason];
-            refused.push_back(attempt.doneUs - attempt.sentUs);
-            unknown += attempt.executionStatus == "unknown" ? 1 : 0;
+            refusalLatencies.push_back(attempt.doneUs - attempt.sentUs);
+            unknownOutcomes += attempt.executionStatus == "unknown" ? 1 : 0;
         }
     }
-    std::sort(answered.begin(), answered.end());
-    std::sort(refused.begin(), refused.end());
-    std::cout << "operations " << operations.size() << ", done " << done.size() << "\n"
-              << "attempts " << attempts.size() << ": answered " << answered.size() << ", refused "
-              << refused.size() << " (outcome unknown " << unknown << "), no answer " << noAnswer
-              << "\n";
+    std::sort(responseLatencies.begin(), responseLatencies.end());
+    std::sort(refusalLatencies.begin(), refusalLatencies.end());
+    std::cout << "operations " << operations.size() << ", done " << doneOperations.size() << "\n"
+              << "attempts " << attempts.size() << ": answered " << responseLatencies.size()
+              << ", refused " << refusalLatencies.size() << " (outcome unknown " << unknownOutcomes
+              << "), no answer " << withoutResponse << "\n";
     for (const auto &[reason, count] : refusals)
         std::cout << "  refused " << reason << " " << count << "\n";
-    std::cout << "latency of answers ms: p50 " << percentile(answered, 0.5) << " p90 "
-              << percentile(answered, 0.9) << " p99 " << percentile(answered, 0.99) << " max "
-              << percentile(answered, 1) << "\n"
-              << "latency of refusals ms: p50 " << percentile(refused, 0.5) << " p99 "
-              << percentile(refused, 0.99) << " max " << percentile(refused, 1) << "\n";
+    std::cout << "latency of answers ms: p50 " << percentile(responseLatencies, 0.5) << " p90 "
+              << percentile(responseLatencies, 0.9) << " p99 "
+              << percentile(responseLatencies, 0.99) << " max " << percentile(responseLatencies, 1)
+              << "\n"
+              << "latency of refusals ms: p50 " << percentile(refusalLatencies, 0.5) << " p99 "
+              << percentile(refusalLatencies, 0.99) << " max " << percentile(refusalLatencies, 1)
+              << "\n";
 }
 
 } // namespace load
--- a/apps/load/figures.h
+++ b/apps/load/figures.h
@@ -4,7 +4,7 @@
 
 namespace load {
 
-/// Prints requests by outcome, refusals by reason and latency percentiles.
+/// Prints attempts by outcome, refusals by reason and latency percentiles in milliseconds.
 void printStatistics(const std::vector<Attempt> &attempts);
 
 } // namespace load
--- a/apps/load/historycheck.cpp
+++ b/apps/load/historycheck.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-constexpr std::int64_t kStartDelayLimitUs = 3000000; // 3 s after the first entry host could know
+constexpr std::int64_t
+    kStartDelayLimitUs = 3000000; // 3 s after the commit, from which on entry hosts can know
 constexpr double kMicrosPerSecond = 1e6;
 constexpr int kMaxPrinted = 10;
 
@@ -22,40 +23,42 @@
 
 void checkRequests(const Records &records, CheckReport &report)
 {
-    std::map<std::string, std::vector<const Execution *>> runsOfOperation;
-    std::map<std::string, int> runsOfRequest;
-    for (const Execution &run : records.executions) {
-        runsOfOperation[operationOf(run.requestId)].push_back(&run);
-        ++runsOfRequest[run.requestId];
+    std::map<std::string, std::vector<const Execution *>> executionsOfOperation;
+    std::map<std::string, int> executionsOfRequest;
+    for (const Execution &execution : records.executions) {
+        executionsOfOperation[operationOf(execution.requestId)].push_back(&execution);
+        ++executionsOfRequest[execution.requestId];
     }
-    std::set<std::string> judged;
+    std::set<std::string> reported;
     for (const Attempt &attempt : records.attempts) {
-        const auto &runs = runsOfOperation[attempt.operation];
-        if (attempt.isUnrepeatable && runs.size() > 1 && judged.insert(attempt.operation).second) {
+        const auto &executions = executionsOfOperation[attempt.operation];
+        if (attempt.isUnrepeatable && executions.size() > 1
+            && reported.insert(attempt.operation).second) {
             ++report.doubleExecutions;
-            report.violations.push_back("ran " + std::to_string(runs.size())
-                                        + " times: " + runs[0]->requestId + " on " + runs[0]->host
-                                        + ", " + runs[1]->requestId + " on " + runs[1]->host);
+            report.violations.push_back("ran " + std::to_string(executions.size())
+                                        + " times: " + executions[0]->requestId + " on "
+                                        + executions[0]->host + ", " + executions[1]->requestId
+                                        + " on " + executions[1]->host);
         }
-        if (attempt.executionStatus == "no" && runsOfRequest[attempt.requestId()] > 0) {
+        if (attempt.executionStatus == "no" && executionsOfRequest[attempt.requestId()] > 0) {
             ++report.falseNotExecuted;
-            report.violations.push_back("refused as not run, but ran: " + attempt.requestId()
-                                        + " reason " + attempt.reason);
+            report.violations.push_back("refused as not run, but was executed: "
+                                        + attempt.requestId() + " reason " + attempt.reason);
         }
-        if (attempt.isSuccess() && attempt.respondedRequestId != "-"
+        if (attempt.hasUpstreamResponse() && attempt.respondedRequestId != "-"
             && operationOf(attempt.respondedRequestId) != attempt.operation) {
             ++report.wrongResponses;
             report.violations.push_back("answer of " + attempt.respondedRequestId + " went to "
                                         + attempt.requestId());
         }
-        if (attempt.respondedRequestId != "-" && runs.empty()) {
+        if (attempt.respondedRequestId != "-" && executions.empty()) {
             ++report.responsesWithoutExecution;
-            report.violations.push_back("answered without a run: " + attempt.requestId());
+            report.violations.push_back("response without an execution: " + attempt.requestId());
         }
     }
 }
 
-/// Replays the log and checks each planned disruption against the budget that it was admitted by.
+/// Replays the log and checks each planned disruption against the disruption budget of its pool.
 class LogChecker
 {
 public:
@@ -64,8 +67,8 @@
         , m_report(report)
         , m_isTimed(isTimed)
     {
-        for (const Execution &run : records.executions)
-            m_executionsOfHost[run.host].push_back(&run);
+        for (const Execution &execution : records.executions)
+            m_executionsOfHost[execution.host].push_back(&execution);
     }
 
     void check()
@@ -155,19 +158,20 @@
     void checkLateStarts(const LogEntry &entry, const HostRecord &host)
     {
         const std::int64_t drainedUs = timeOf(entry);
-        const std::int64_t againUs = nextJoiningUs(entry, host.id);
-        for (const Execution *run : m_executionsOfHost[host.id.name()]) {
-            if (run->startUs <= drainedUs || (againUs > 0 && run->startUs >= againUs))
+        const std::int64_t rejoinedUs = nextJoiningUs(entry, host.id);
+        for (const Execution *execution : m_executionsOfHost[host.id.name()]) {
+            if (execution->startUs <= drainedUs
+                || (rejoinedUs > 0 && execution->startUs >= rejoinedUs))
                 continue;
-            const std::int64_t late = run->startUs - drainedUs;
+            const std::int64_t late = execution->startUs - drainedUs;
             m_report.maxStartDelayUs = std::max(m_report.maxStartDelayUs, late);
             if (late <= kStartDelayLimitUs)
                 continue;
             ++m_report.lateStarts;
             if (!m_isTimed)
                 continue;
-            m_report.violations.push_back(run->requestId + " started on " + run->host + " "
-                                          + std::to_string(late) + " us after its drain");
+            m_report.violations.push_back(execution->requestId + " started on " + execution->host
+                                          + " " + std::to_string(late) + " us after its drain");
         }
     }
 
--- a/apps/load/historycheck.h
+++ b/apps/load/historycheck.h
@@ -10,48 +10,51 @@
 
 namespace load {
 
-/// One run of a request as an upstream recorded it.
+/// One execution of a request as recorded by an upstream. Times are microseconds of the monotonic
+/// clock.
 struct Execution
 {
     std::string requestId;
     std::string host;
     std::string service;
     std::int64_t startUs = 0;
-    std::int64_t endUs = 0;
+    std::int64_t endUs = 0; ///< Zero while the request runs, or when it was cut off.
 };
 
-/// Everything that was recorded of one experiment.
+/// The records of one experiment from the callers, the upstreams and the platform.
 struct Records
 {
     std::vector<Attempt> attempts;
     std::vector<Execution> executions;
     std::vector<oleanderhall::LogEntry> log;
-    std::map<std::string, std::int64_t> commitTimesUs; ///< By the entry's operation.
+    std::map<std::string, std::int64_t> commitTimesUs; ///< Keyed by the log entry's operation.
 };
 
-/// What a check found: violations with their trace, and the measures.
+/// The result of a check: violations as text, their counts, and measurements.
 struct CheckReport
 {
     std::vector<std::string> violations;
     int doubleExecutions = 0;
     int falseNotExecuted = 0;
     int wrongResponses = 0;
-    int responsesWithoutExecution = 0; ///< Answered, but no upstream recorded a run.
+    int responsesWithoutExecution = 0; ///< Responses whose operation no upstream recorded.
     int budgetViolations = 0;
     int poolViolations = 0;
-    int lateStarts = 0; ///< Runs started at a leaving upstream after the bound.
-    int cutOff = 0; ///< Attempts without a whole answer at a host that stopped by plan.
-    std::int64_t maxStartDelayUs = 0; ///< The latest start after a drain was committed.
+    int lateStarts = 0; ///< Executions started on a draining host more than 3 s after the drain.
+    int cutOff = 0; ///< Attempts without a complete response at a host that was stopped by plan.
+    std::int64_t
+        maxStartDelayUs = 0; ///< Longest time from a drain's commit to the start of an execution.
     int moves = 0;
     double rollOutSeconds = 0;
-    double meanBufferHosts = 0; ///< Mean serving hosts without an instance, from the first wave on.
+    double meanBufferHosts = 0; ///< Mean number of serving hosts without an instance since the
+                                ///< first wave.
 };
 
-/// Checks every promise that the records can show to be broken.
-/// With `isTimed` off, lateness is reported and no violation.
+/// Checks the records against the guarantees of the fleet. When `isTimed` is false, late starts are
+/// counted but are no violations.
 CheckReport checkHistory(const Records &records, bool isTimed = true);
 
-/// Prints the report; returns whether no promise was broken.
+/// Prints the report with the first ten violations. Returns whether there were none.
 bool printReport(const CheckReport &report);
 
 } // namespace load
--- a/apps/load/main.cpp
+++ b/apps/load/main.cpp
@@ -1,5 +1,5 @@
-// Drives callers' requests through the entry hosts and checks what was recorded. Exit codes: 0 all
-// promises held, 1 one was broken or the records could not be had, 2 wrong usage.
+// Load tool: sends callers' requests through the entry hosts and checks the recorded history. Exit
+// codes: 0 success, 1 a guarantee was violated or the records can't be fetched, 2 usage error.
 #include <utility>
 
 #include "callers.h"
@@ -42,11 +42,11 @@
 std::vector<Execution> fetchExecutions(const std::string &url)
 {
     std::istringstream lines(fetch(url));
-    std::vector<Execution> runs;
-    for (Execution run;
-         lines >> run.requestId >> run.host >> run.service >> run.startUs >> run.endUs;)
-        runs.push_back(run);
-    return runs;
+    std::vector<Execution> executions;
+    for (Execution execution; lines >> execution.requestId >> execution.host >> execution.service
+         >> execution.startUs >> execution.endUs;)
+        executions.push_back(execution);
+    return executions;
 }
 
 std::vector<oleanderhall::LogEntry> fetchLog(const std::string &table, const std::string &objects)
@@ -100,21 +100,27 @@
     std::string platform = "http://127.0.0.1:9000";
     std::string workers = "http://127.0.0.1:9001";
     CLI::App *run = app.add_subcommand("run", "Send requests and write a history");
-    run->add_option("--entry", settings.entries, "IP:PORT of callers' sides")->required();
+    run->add_option("--entry", settings.entries,
+                    "IP:PORT of an entry host's listener for callers; may be repeated")
+        ->required();
     run->add_option("--register", registerFile, "Register document")->required();
     run->add_option("--rules", rulesFile, "Rules document")->required();
-    run->add_option("--history", history, "File for the history");
-    run->add_option("--rate", settings.ratePerSecond, "Operations a second");
-    run->add_option("--seconds", settings.seconds, "Length of the run");
-    run->add_option("--unrepeatable", settings.unrepeatablePercent, "Unrepeatable calls, percent");
-    run->add_option("--twins", settings.duplicatePercent, "Calls sent twice at once, percent");
-    run->add_option("--work-ms", settings.workMs, "Time that a request works");
-    run->add_option("--timeout-ms", settings.timeoutMs, "Time limit of a request");
-    run->add_option("--tries", settings.maxAttempts, "Tries of an operation");
-    run->add_option("--seed", settings.seed, "Seed of the mix");
+    run->add_option("--history", history, "File that the history is written to");
+    run->add_option("--rate", settings.ratePerSecond, "Operations per second");
+    run->add_option("--seconds", settings.seconds, "Length of the run in seconds");
+    run->add_option("--unrepeatable", settings.unrepeatablePercent,
+                    "Share of unrepeatable operations in percent");
+    run->add_option("--twins", settings.duplicatePercent,
+                    "Share of unrepeatable operations sent twice at once, in percent");
+    run->add_option("--work-ms", settings.workMs,
+                    "Processing time of a request at the upstream in milliseconds");
+    run->add_option("--timeout-ms", settings.timeoutMs, "Time limit of a request in milliseconds");
+    run->add_option("--tries", settings.maxAttempts, "Maximum number of attempts per operation");
+    run->add_option("--seed", settings.seed, "Seed of the random mix of operations");
     bool isUntimed = false;
-    CLI::App *check = app.add_subcommand("check", "Check what was recorded");
-    check->add_flag("--untimed", isUntimed, "Report lateness without judging it");
+    CLI::App *check = app.add_subcommand("check", "Check the recorded history");
+    check->add_flag("--untimed", isUntimed,
+                    "Count late starts without treating them as violations");
     check->add_option("--history", histories, "History files")->required();
     check->add_option("--platform", platform, "URL of the platform's stand-in");
     check->add_option("--workers", workers, "URL of the workers' stand-in");
--- a/tests/load/historycheck_test.cpp
+++ b/tests/load/historycheck_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// One attempt and its run, without a fault.
+/// Returns one successful attempt with its execution, without a violation.
 Records sampleRecords()
 {
     Records records;
