--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -1,5 +1,6 @@
-// Measures how the control side's cost grows with the fleet: memory of the state, time to apply a
-// change, time to decide for a pool, and sizes of what is sent. Prints CSV, one row a size.
+// Measures how the cost of the control plane grows with the fleet: memory of the state, time to
+// apply a change, time to decide for a pool and to assign pools to entry hosts, and sizes of stored
+// records. Prints CSV, one row per fleet size.
 #include <oleanderhall/fleet/poolplanner.h>
 #include <oleanderhall/membership/memberrow.h>
 #include <oleanderhall/membership/rendezvous.h>
@@ -20,7 +21,7 @@
 constexpr int kHostsPerRack = 4;
 constexpr int kRepeats = 200;
 
-struct Size
+struct FleetSize
 {
     int hosts;
     int pools;
@@ -38,17 +39,19 @@
     return static_cast<double>(resident) * kBytesPerPage / (1 << 20);
 }
 
+/// Returns the mean duration of a call of `work`.
 template <typename Work>
 double meanMicroseconds(int repeats, const Work &work)
 {
     const auto start = std::chrono::steady_clock::now();
     for (int count = 0; count < repeats; ++count)
         work(count);
-    const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - start;
-    return took.count() / repeats;
+    const std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now()
+        - start;
+    return elapsed.count() / repeats;
 }
 
-Register makeRegister(const Size &size)
+Register makeRegister(const FleetSize &size)
 {
     Register config;
     for (int pool = 0; pool < size.pools; ++pool) {
@@ -109,7 +112,7 @@
     return observations;
 }
 
-void measure(const Size &size)
+void measure(const FleetSize &size)
 {
     const double before = residentMb();
     FleetState state;
@@ -168,8 +171,9 @@
 {
     std::cout << "hosts,pools,zones,state_mb,apply_entry_us,decide_pool_us,owners_us,entry_bytes,"
                  "member_row_bytes,head_bytes\n";
-    for (const Size size : {Size{50, 5, 4}, Size{1000, 10, 8}, Size{5000, 25, 14},
-                            Size{12500, 40, 20}, Size{25000, 67, 28}})
+    for (const FleetSize size :
+         {FleetSize{50, 5, 4}, FleetSize{1000, 10, 8}, FleetSize{5000, 25, 14},
+          FleetSize{12500, 40, 20}, FleetSize{25000, 67, 28}})
         measure(size);
     return 0;
 }
--- a/samples/planner/main.cpp
+++ b/samples/planner/main.cpp
@@ -1,5 +1,5 @@
-// Uses the decision library alone: reads a register and its rules, and prints what a planner would
-// do first. Nothing is contacted.
+// Sample that uses only the decision library: reads a register and its rules and prints the first
+// decision of each pool's planner. Makes no network calls.
 //
 //     oleanderhall-planner-sample samples/licensing/register.json samples/licensing/rules.json
 #include <oleanderhall/core/errors.h>
@@ -22,8 +22,8 @@
     return {path, text.str()};
 }
 
-/// Returns the state right after the configuration was accepted.
-FleetState accept(const Register &config)
+/// Returns the fleet state right after the configuration came into force.
+FleetState initialState(const Register &config)
 {
     LogEntry entry{.sequence = {1}, .actor = EntryId("sample"), .operation = "first"};
     entry.changes.push_back(ConfigChange{{1}, difference(Register{}, config)});
@@ -42,7 +42,7 @@
     }
     try {
         const Register config = parseRegister(readDocument(argv[1]), readDocument(argv[2]));
-        const FleetState state = accept(config);
+        const FleetState state = initialState(config);
         for (const auto &[pool, rule] : config.pools) {
             PoolPlanner planner(pool);
             const PoolPlan plan = planner.decide(state, {}, Instant{});
--- a/standin/platform/hostlistservice.cpp
+++ b/standin/platform/hostlistservice.cpp
@@ -13,13 +13,13 @@
 value HostListService::list()
 {
     const std::lock_guard lock(m_mutex);
-    const auto until = std::chrono::steady_clock::now() - m_lag;
-    auto edit = m_pending.begin();
-    for (; edit != m_pending.end() && edit->at <= until; ++edit)
-        m_listed[edit->host] = edit->state;
-    m_pending.erase(m_pending.begin(), edit);
+    const auto visibleUntil = std::chrono::steady_clock::now() - m_lag;
+    auto change = m_pending.begin();
+    for (; change != m_pending.end() && change->at <= visibleUntil; ++change)
+        m_listed[change->host] = change->state;
+    m_pending.erase(m_pending.begin(), change);
     value result = value::array();
-    std::size_t groups = 0;
+    std::size_t groupCount = 0;
     for (const std::string state : {"live", "leaving"}) {
         value targets = value::array();
         std::size_t count = 0;
@@ -27,8 +27,8 @@
             if (hostState == state)
                 targets[count++] = value::string(host);
         }
-        result[groups]["targets"] = targets;
-        result[groups++]["labels"]["state"] = value::string(state);
+        result[groupCount]["targets"] = targets;
+        result[groupCount++]["labels"]["state"] = value::string(state);
     }
     return result;
 }
--- a/standin/platform/hostlistservice.h
+++ b/standin/platform/hostlistservice.h
@@ -10,8 +10,8 @@
 
 namespace standin {
 
-/// A HostListService answers the platform's list of live and leaving hosts in the Prometheus HTTP
-/// service discovery format, a set lag behind the truth.
+/// A HostListService provides the platform's list of live and leaving hosts in the format of
+/// Prometheus HTTP service discovery. Changes appear in the list after a fixed lag. Thread-safe.
 class HostListService
 {
 public:
@@ -19,9 +19,9 @@
         : m_lag(lag)
     {}
 
-    /// Sets a host's state: "live", "leaving" or "gone".
+    /// Sets a host's state: "live", "leaving", or "gone", which removes it from the list.
     void set(const std::string &host, const std::string &state);
-    /// Returns the list as it was one lag ago.
+    /// Returns the list with all changes that are at least as old as the lag.
     web::json::value list();
 
 private:
--- a/standin/platform/main.cpp
+++ b/standin/platform/main.cpp
@@ -1,5 +1,5 @@
-// A stand-in for the platform's transactional table, object store and host list, with fault
-// switches for tests. It keeps everything in memory.
+// Stand-in for the platform's transactional table, object store and host list, with fault injection
+// for tests. All data is kept in memory.
 #include "faultswitch.h"
 #include "hostlistservice.h"
 #include "tableservice.h"
@@ -23,7 +23,8 @@
 constexpr std::chrono::seconds kSilentDuration{30};
 constexpr int kThreads = 32;
 
-/// Runs `work` for a call as the fault says, and replies with what it returns.
+/// Executes a call by `work(request, replies)` under the current fault. `work` sends the response
+/// itself, but only if `replies` is true.
 template <typename Work>
 void serve(FaultSwitch &faults, http_request request, const Work &work)
 {
@@ -56,13 +57,13 @@
 class Platform
 {
 public:
-    explicit Platform(std::chrono::milliseconds lag)
-        : m_hosts(lag)
+    explicit Platform(std::chrono::milliseconds listLag)
+        : m_hosts(listLag)
     {}
 
     void handle(http_request request)
     {
-        // Blocking for the body would hold a thread that reading the body needs.
+        // Waiting for the body would block a pool thread that is needed to read it.
         request.extract_utf8string(true).then(
             [this, request](const pplx::task<std::string> &body) { handleBody(request, body); });
     }
@@ -149,7 +150,7 @@
     std::string listen = "http://127.0.0.1:9000";
     int lagMs = 1000;
     app.add_option("--listen", listen, "URL to listen on")->envname("STANDIN_LISTEN");
-    app.add_option("--list-lag-ms", lagMs, "Lag of the host list in milliseconds");
+    app.add_option("--list-lag-ms", lagMs, "Delay of changes in the host list in milliseconds");
     CLI11_PARSE(app, argc, argv);
 
     sigset_t signals;
--- a/standin/platform/tableservice.cpp
+++ b/standin/platform/tableservice.cpp
@@ -31,7 +31,7 @@
     return response;
 }
 
-TableResponse cancelled(const std::vector<bool> &failed)
+TableResponse transactionCanceled(const std::vector<bool> &failed)
 {
     TableResponse response{.status = kBadRequest};
     response.body["__type"] = value::string(
@@ -43,7 +43,7 @@
     return response;
 }
 
-std::pair<std::string, value> onlyAction(const value &item)
+std::pair<std::string, value> firstMember(const value &item)
 {
     const auto &entry = *item.as_object().begin();
     return {entry.first, entry.second};
@@ -80,17 +80,17 @@
         return validationError("more than 100 items in a transaction");
     const std::lock_guard lock(m_mutex);
     std::vector<bool> failed;
-    bool anyFailed = false;
+    bool hasFailed = false;
     for (const value &item : items) {
-        const auto [name, action] = onlyAction(item);
+        const auto [name, action] = firstMember(item);
         const Key key = keyIn(name == "Put" ? action.at("Item") : action.at("Key"));
         failed.push_back(!conditionHolds(action, key));
-        anyFailed = anyFailed || failed.back();
+        hasFailed = hasFailed || failed.back();
     }
-    if (anyFailed)
-        return cancelled(failed);
+    if (hasFailed)
+        return transactionCanceled(failed);
     for (const value &item : items) {
-        const auto [name, action] = onlyAction(item);
+        const auto [name, action] = firstMember(item);
         if (name == "Put")
             m_items.insert_or_assign(keyIn(action.at("Item")), action.at("Item"));
         else if (name == "Delete")
--- a/standin/platform/tableservice.h
+++ b/standin/platform/tableservice.h
@@ -10,22 +10,26 @@
 
 namespace standin {
 
-/// The answer to a table call: an HTTP status and a JSON body.
+/// The response to a table call: an HTTP status and a JSON body.
 struct TableResponse
 {
     int status = 200;
     web::json::value body = web::json::value::object();
 };
 
-/// A TableService is a small transactional table behind the DynamoDB JSON protocol. It knows what
-/// oleanderhall uses: TransactWriteItems with the conditions attribute_not_exists(pk) and
-/// ver = :ver, GetItem, and Query in key order.
+/// A TableService is an in-memory transactional table with the DynamoDB JSON protocol. It
+/// implements the subset that oleanderhall uses: TransactWriteItems with the conditions
+/// attribute_not_exists(pk) and ver = :ver, GetItem, and Query in key order. Thread-safe.
 class TableService
 {
 public:
+    /// Executes an operation, which is the value of the X-Amz-Target header. Responds with status
+    /// 400 to an unknown operation, a transaction of more than 100 items or a failed condition.
+    /// Throws on a malformed request.
     TableResponse handleRequest(const std::string &operation, const web::json::value &request);
 
-    /// Returns the journal of committed transactions: time in microseconds and request token.
+    /// Returns the committed transactions in order: time in microseconds of the monotonic clock and
+    /// request token.
     web::json::value journal() const;
 
 private:
--- a/standin/relay/main.cpp
+++ b/standin/relay/main.cpp
@@ -1,6 +1,6 @@
-// A TCP relay between processes, for tests of network partitions. It forwards each LISTEN=TARGET
-// pair. SIGUSR1 cuts it: open connections go silent and new ones are accepted and go nowhere.
-// SIGUSR2 mends it: connections that went silent are closed, new ones are forwarded again.
+// TCP relay between processes, for tests of network partitions. It forwards each LISTEN=TARGET
+// pair. SIGUSR1 starts a partition: data of open and new connections is discarded. SIGUSR2 ends it:
+// connections from before or during the partition are closed, new ones are forwarded again.
 #include <utility>
 
 #include <CLI/CLI.hpp>
@@ -65,17 +65,17 @@
         for (;;) {
             const int signal = co_await m_signals.async_wait(asio::use_awaitable);
             m_isPartitioned = signal == SIGUSR1;
-            for (const std::weak_ptr<Connection> &item : m_connections) {
-                const ConnectionPtr link = item.lock();
-                if (!link)
+            for (const std::weak_ptr<Connection> &entry : m_connections) {
+                const ConnectionPtr connection = entry.lock();
+                if (!connection)
                     continue;
                 if (m_isPartitioned)
-                    link->isStalled = true;
-                else if (link->isStalled)
-                    close(*link);
+                    connection->isStalled = true;
+                else if (connection->isStalled)
+                    close(*connection);
             }
             m_connections.remove_if(
-                [](const std::weak_ptr<Connection> &item) { return item.expired(); });
+                [](const std::weak_ptr<Connection> &entry) { return entry.expired(); });
         }
     }
 
@@ -83,50 +83,52 @@
     {
         tcp::acceptor acceptor(m_io, listen);
         for (;;) {
-            auto link = std::make_shared<Connection>(m_io);
-            co_await acceptor.async_accept(link->client, asio::use_awaitable);
-            link->isStalled = m_isPartitioned;
-            m_connections.push_back(link);
+            auto connection = std::make_shared<Connection>(m_io);
+            co_await acceptor.async_accept(connection->client, asio::use_awaitable);
+            connection->isStalled = m_isPartitioned;
+            m_connections.push_back(connection);
             m_connections.remove_if(
-                [](const std::weak_ptr<Connection> &item) { return item.expired(); });
-            asio::co_spawn(m_io, start(link, target), asio::detached);
+                [](const std::weak_ptr<Connection> &entry) { return entry.expired(); });
+            asio::co_spawn(m_io, start(connection, target), asio::detached);
         }
     }
 
-    asio::awaitable<void> start(ConnectionPtr link, tcp::endpoint target)
+    asio::awaitable<void> start(ConnectionPtr connection, tcp::endpoint target)
     {
         boost::system::error_code failed;
-        co_await link->server.async_connect(target,
-                                            asio::redirect_error(asio::use_awaitable, failed));
+        co_await connection->server.async_connect(
+            target, asio::redirect_error(asio::use_awaitable, failed));
         if (failed) {
-            close(*link);
+            close(*connection);
             co_return;
         }
-        asio::co_spawn(m_io, forward(link, link->client, link->server), asio::detached);
-        asio::co_spawn(m_io, forward(link, link->server, link->client), asio::detached);
+        asio::co_spawn(m_io, forward(connection, connection->client, connection->server),
+                       asio::detached);
+        asio::co_spawn(m_io, forward(connection, connection->server, connection->client),
+                       asio::detached);
     }
 
-    asio::awaitable<void> forward(ConnectionPtr link, tcp::socket &from, tcp::socket &to)
+    asio::awaitable<void> forward(ConnectionPtr connection, tcp::socket &from, tcp::socket &to)
     {
         std::array<char, kBufferBytes> buffer;
         boost::system::error_code failed;
         while (!failed) {
             const std::size_t size = co_await from.async_read_some(
                 asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, failed));
-            if (failed || link->isStalled)
+            if (failed || connection->isStalled)
                 continue;
             co_await asio::async_write(to, asio::buffer(buffer, size),
                                        asio::redirect_error(asio::use_awaitable, failed));
         }
-        if (!link->isStalled)
-            close(*link);
+        if (!connection->isStalled)
+            close(*connection);
     }
 
-    static void close(Connection &link)
+    static void close(Connection &connection)
     {
         boost::system::error_code ignored;
-        link.client.close(ignored);
-        link.server.close(ignored);
+        connection.client.close(ignored);
+        connection.server.close(ignored);
     }
 
     asio::io_context &m_io;
@@ -141,7 +143,7 @@
 
 int main(int argc, char **argv)
 {
-    CLI::App app{"TCP relay that can be cut"};
+    CLI::App app{"TCP relay that simulates network partitions"};
     std::vector<std::string> pairs;
     app.add_option("pairs", pairs, "LISTEN=TARGET, each IP:PORT")->required();
     CLI11_PARSE(app, argc, argv);
--- a/standin/workers/executionlog.cpp
+++ b/standin/workers/executionlog.cpp
@@ -28,9 +28,9 @@
 {
     const std::lock_guard lock(m_mutex);
     std::string result;
-    for (const Execution &run : m_executions) {
-        result += run.requestId + " " + run.host + " " + run.service + " "
-            + std::to_string(run.startUs) + " " + std::to_string(run.endUs) + "\n";
+    for (const Execution &entry : m_executions) {
+        result += entry.requestId + " " + entry.host + " " + entry.service + " "
+            + std::to_string(entry.startUs) + " " + std::to_string(entry.endUs) + "\n";
     }
     return result;
 }
--- a/standin/workers/executionlog.h
+++ b/standin/workers/executionlog.h
@@ -7,7 +7,7 @@
 
 namespace standin {
 
-/// One run of a request at an instance, with times in microseconds of the monotonic clock.
+/// One execution of a request at an instance. Times are microseconds of the monotonic clock.
 struct Execution
 {
     std::string requestId;
@@ -17,14 +17,16 @@
     std::int64_t endUs = 0; ///< Zero while the request runs, or when it was cut off.
 };
 
-/// An ExecutionLog records every request that any instance has run, for history checks.
+/// An ExecutionLog records the requests that all instances execute, for history checks.
+/// Thread-safe.
 class ExecutionLog
 {
 public:
-    /// Records the start of a run and returns its number.
+    /// Records the start of an execution and returns its number.
     std::size_t start(Execution execution);
+    /// Records the end of the execution with this number.
     void end(std::size_t number);
-    /// Returns all runs as lines: request id, host, service, start, end.
+    /// Returns all executions, one per line: request id, host, service, start, end.
     std::string text() const;
 
 private:
@@ -32,7 +34,7 @@
     std::vector<Execution> m_executions;
 };
 
-/// Returns the monotonic time in microseconds.
+/// Returns the time of the monotonic clock in microseconds.
 std::int64_t monotonicUs();
 
 } // namespace standin
--- a/standin/workers/instance.cpp
+++ b/standin/workers/instance.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr int kDefaultWorkMs = 5;
-constexpr int kExtraSlowMs = 1000;
-constexpr int kSilenceMs = 60000;
+constexpr int kSlowExtraMs = 1000;
+constexpr int kSilentDurationMs = 60000;
 
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
@@ -147,7 +147,7 @@
     try {
         while (co_await serveOne(connection)) {}
     } catch (const std::exception &) {
-        // The peer went away; the connection is dropped below.
+        // The connection failed; it is removed below.
     }
     const std::lock_guard lock(m_mutex);
     m_connections.erase(connection);
@@ -163,7 +163,7 @@
     if (fault == InstanceFault::CloseUnprocessed)
         co_return false;
     if (fault == InstanceFault::Silent) {
-        co_await pause(kSilenceMs);
+        co_await pause(kSilentDurationMs);
         co_return false;
     }
     if (m_requestsInFlight >= m_settings.slots) {
@@ -180,12 +180,12 @@
     }
     ++m_requestsInFlight;
     const std::string requestId = requestIdOf(request);
-    const std::size_t run = m_log.start({requestId, m_settings.host, m_settings.service});
-    co_await pause(workMs(request) + (fault == InstanceFault::Slow ? kExtraSlowMs : 0));
+    const std::size_t execution = m_log.start({requestId, m_settings.host, m_settings.service});
+    co_await pause(workMs(request) + (fault == InstanceFault::Slow ? kSlowExtraMs : 0));
     --m_requestsInFlight;
     if (m_isKilled)
         co_return false;
-    m_log.end(run);
+    m_log.end(execution);
     const std::string body = "{\"request\":\"" + requestId + "\",\"service\":\""
         + m_settings.service + "\",\"host\":\"" + m_settings.host + "\"}";
     auto response = responseTo(request, http::status::ok, body, !m_isStopping);
--- a/standin/workers/instance.h
+++ b/standin/workers/instance.h
@@ -16,29 +16,30 @@
 
 namespace standin {
 
-/// How an instance misbehaves.
+/// A fault that an instance injects into its requests.
 enum class InstanceFault {
     None,
-    Silent, ///< Reads requests and answers nothing.
-    Slow, ///< Takes a second longer.
-    TruncateResponse, ///< Runs the request, then cuts the answer in the middle.
-    CloseUnprocessed, ///< Closes the connection after reading the request, without running it.
-    ImmediateError, ///< Answers 500 at once.
+    Silent, ///< Reads the request and closes the connection after 60 s.
+    Slow, ///< Executes the request one second longer.
+    TruncateResponse, ///< Executes the request, then closes the connection within the response.
+    CloseUnprocessed, ///< Reads the request, then closes the connection without executing it.
+    ImmediateError, ///< Responds with 500 at once, without executing the request.
 };
 
-/// Where an instance listens and how much it takes.
+/// Identity, address and limits of an instance.
 struct InstanceSettings
 {
     std::string host;
     std::string service;
     std::string address;
     std::uint16_t port = 0;
-    int slots = 8;
-    int connections = 64;
+    int slots = 8; ///< Concurrent requests.
+    int connections = 64; ///< Open connections; further ones are closed when accepted.
 };
 
-/// An Instance is one upstream: an HTTP server that runs requests in a few slots and refuses with
-/// 503 when none is free. The header X-Work-Ms says how long a request works.
+/// An Instance is one upstream: an HTTP server that executes a limited number of requests at once
+/// and refuses further ones with 503. The request header X-Work-Ms sets the processing time;
+/// without it, a request takes 5 ms.
 class Instance : public std::enable_shared_from_this<Instance>
 {
 public:
@@ -46,13 +47,14 @@
 
     Instance(boost::asio::io_context &io, InstanceSettings settings, ExecutionLog &log);
 
-    /// Starts to listen. Throws when the address is taken.
+    /// Starts to listen. Throws when the address is in use.
     void start();
-    /// Stops to listen; requests in flight are finished and answered.
+    /// Stops listening and closes idle connections. Requests in flight are finished and get their
+    /// responses.
     void stopGracefully();
-    /// Drops everything at once.
+    /// Stops listening and closes all connections at once, without responses.
     void kill();
-    /// Returns whether a graceful stop has ended.
+    /// Returns whether no connection is open, which ends a graceful stop.
     bool isIdle() const { return m_connectionCount == 0; }
     void setFault(InstanceFault fault) { m_fault = fault; }
     const InstanceSettings &settings() const { return m_settings; }
--- a/standin/workers/main.cpp
+++ b/standin/workers/main.cpp
@@ -1,5 +1,5 @@
-// A stand-in for the platform's workers and for the upstreams that run on them. Every host is an IP
-// number of the loopback range; one process carries them all.
+// Stand-in for the platform's workers and for the upstreams that run on them. A single process
+// simulates all hosts; each host has a loopback IP address of its own.
 #include "worker.h"
 
 #include <CLI/CLI.hpp>
@@ -32,7 +32,7 @@
 
     void handle(http_request request)
     {
-        // Blocking for the body would hold a thread that reading the body needs.
+        // Waiting for the body would block a pool thread that is needed to read it.
         request.extract_utf8string(true).then(
             [this, request](const pplx::task<std::string> &body) { handleBody(request, body); });
     }
@@ -75,10 +75,10 @@
     Worker &worker(const std::string &name)
     {
         const std::lock_guard lock(m_mutex);
-        auto &found = m_workers[name];
-        if (!found)
-            found = std::make_unique<Worker>(name, m_io, m_log, m_rebootTime);
-        return *found;
+        auto &entry = m_workers[name];
+        if (!entry)
+            entry = std::make_unique<Worker>(name, m_io, m_log, m_rebootTime);
+        return *entry;
     }
 
     boost::asio::io_context &m_io;
@@ -97,8 +97,8 @@
     CLI::App app{"Stand-in for the platform's workers and their upstreams"};
     std::string listen = "http://127.0.0.1:9001";
     int rebootMs = 2000;
-    app.add_option("--listen", listen, "URL of the workers' interface");
-    app.add_option("--reboot-ms", rebootMs, "How long a reboot takes in milliseconds");
+    app.add_option("--listen", listen, "URL that the worker API listens on");
+    app.add_option("--reboot-ms", rebootMs, "Duration of a reboot in milliseconds");
     CLI11_PARSE(app, argc, argv);
 
     sigset_t signals;
--- a/standin/workers/worker.cpp
+++ b/standin/workers/worker.cpp
@@ -92,8 +92,8 @@
 bool Worker::isUp()
 {
     const std::lock_guard lock(m_mutex);
-    const bool isBack = m_rebootEpoch == 0 || (!m_neverReturns && Clock::now() >= m_rebootEnd);
-    return !m_isDead && isBack;
+    const bool hasRebooted = m_rebootEpoch == 0 || (!m_neverReturns && Clock::now() >= m_rebootEnd);
+    return !m_isDead && hasRebooted;
 }
 
 void Worker::setFault(const std::string &mode)
@@ -124,7 +124,7 @@
     try {
         instance->start();
     } catch (const std::exception &) {
-        return; // The port is still held by a stopping instance; the next command tries again.
+        return; // A stopping instance still uses the port; the next command tries again.
     }
     instance->setFault(m_instanceFault);
     m_instances.emplace(service, instance);
--- a/standin/workers/worker.h
+++ b/standin/workers/worker.h
@@ -12,21 +12,28 @@
 
 namespace standin {
 
-/// A Worker is one host: it runs instances as it is told, refuses commands of an older life, and
-/// reboots.
+/// A Worker simulates the worker of one host: it runs instances as commanded, refuses commands with
+/// an older epoch than the latest one, and simulates reboots. Thread-safe.
 class Worker
 {
 public:
     Worker(std::string name, boost::asio::io_context &io, ExecutionLog &log,
            std::chrono::milliseconds rebootTime);
 
-    /// Runs exactly the tasks of {"epoch": n, "tasks": [...]}. Returns false when the epoch is old.
+    /// Starts and stops instances to match the tasks of {"epoch": n, "tasks": [...]}. Returns false
+    /// when the epoch is older than the latest one. An instance whose port is in use isn't started;
+    /// the next command tries again.
     bool setTasks(const web::json::value &json);
-    /// Reboots once for {"epoch": n}. Returns false when the epoch is old.
+    /// Starts a reboot for {"epoch": n}, which kills all instances; repeats for the same epoch have
+    /// no effect. Returns false when the epoch is older than the latest one.
     bool reboot(const web::json::value &json);
+    /// Returns the epoch, the epoch of the last reboot and the state of each instance.
     web::json::value state();
+    /// Returns whether the worker is neither dead nor rebooting.
     bool isUp();
-    /// Sets a fault of the worker or of its instances.
+    /// Sets a fault of the worker (dead, restart, failStart, noReturn) or of its instances (silent,
+    /// slow, cut, closeUnread, errorFast); it replaces the previous fault. "restart" also resets
+    /// the epoch. Any other mode ends the fault.
     void setFault(const std::string &mode);
 
 private:
