--- a/apps/cli/main.cpp
+++ b/apps/cli/main.cpp
@@ -205,7 +205,7 @@
     app.add_option("--entry", arguments.entries, "Operators' URL of an entry host; may be repeated")
         ->envname("OLEANDERHALL_ENTRY")
         ->delimiter(',');
-    app.add_flag("--json", arguments.isJson, "Print the answer as JSON");
+    app.add_flag("--json", arguments.isJson, "Print the response as JSON");
     app.add_flag("--dry-run", arguments.isDryRun, "Change nothing");
     app.add_option("--reason", arguments.reason, "Recorded with the decision");
     addCommands(app, arguments, run);
--- a/apps/load/historycheck.cpp
+++ b/apps/load/historycheck.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr std::int64_t
-    kStartDelayLimitUs = 3000000; // 3 s after the commit, from which on entry hosts can know
+/// Limit for new executions on a draining host, counted from the commit of the drain: the earliest
+/// time at which an entry host can know of it.
+constexpr std::int64_t kStartDelayLimitUs = 3000000;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr int kMaxPrinted = 10;
 
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Millis kCallTimeout{3000};
+constexpr Millis kCallTimeout{3000}; // typical time limit of a caller
 constexpr Millis kPollInterval{400};
 constexpr Millis kRetryDelay{300};
 constexpr int kMaxSubmitAttempts = 6;
