--- a/apps/load/callers.h
+++ b/apps/load/callers.h
@@ -18,33 +18,34 @@
 
 namespace load {
 
-/// What a run of Callers sends.
+/// The entry hosts and the mix of requests of a Callers run.
 struct CallerSettings
 {
-    std::vector<std::string> entries; ///< IP:PORT of the callers' sides.
+    std::vector<std::string> entries; ///< IP:PORT of the entry hosts' listeners for callers.
     double ratePerSecond = 100;
     int seconds = 10;
     int unrepeatablePercent = 30;
-    int twinPercent = 5; ///< Unrepeatable operations sent to two entry hosts at once.
+    int duplicatePercent = 5; ///< Share of unrepeatable operations sent twice at once.
     int workMs = 5;
     int timeoutMs = 2000;
-    int maxTries = 3;
+    int maxAttempts = 3;
     std::uint32_t seed = 1;
 };
 
-/// Callers send operations at a steady rate, whatever becomes of earlier ones, through the entry
-/// hosts that say they are ready. They retry as careful callers do: with the same key, at another
-/// entry host, after the time that a refusal names.
+/// Callers generate an open load: operations start at a steady rate, independent of the outcome of
+/// earlier ones, at entry hosts that report to be ready. An attempt without an upstream's response
+/// is retried with the same idempotency key, at a ready entry host chosen anew, after a random
+/// delay of 200 to 499 ms.
 class Callers
 {
 public:
     Callers(CallerSettings settings, const oleanderhall::Register &config);
 
-    /// Runs to the end and returns every attempt.
+    /// Runs until the last operation has ended and returns all attempts. Blocks.
     std::vector<Attempt> run();
 
 private:
-    struct Entry
+    struct EntryHost
     {
         std::string name;
         boost::asio::ip::tcp::endpoint address;
@@ -60,22 +61,23 @@
     };
 
     boost::asio::awaitable<void> generate();
-    boost::asio::awaitable<void> watchReadiness(Entry &entry);
+    boost::asio::awaitable<void> watchReadiness(EntryHost &entry);
     boost::asio::awaitable<void> perform(Operation operation, int firstNumber);
-    boost::asio::awaitable<Attempt> tryOnce(const Operation &operation, int number, Entry &entry);
+    boost::asio::awaitable<Attempt> sendAttempt(const Operation &operation, int number,
+                                                EntryHost &entry);
     Operation nextOperation();
-    Entry &pickEntry();
+    EntryHost &pickEntryHost();
     void record(const Attempt &attempt);
 
     CallerSettings m_settings;
     const oleanderhall::Register &m_config;
     boost::asio::io_context m_io;
-    std::vector<std::unique_ptr<Entry>> m_entries;
+    std::vector<std::unique_ptr<EntryHost>> m_entries;
     std::vector<const oleanderhall::ServiceRule *> m_services;
     std::mt19937 m_random;
     std::uint64_t m_lastOperation = 0;
     std::string m_runName;
-    int m_open = 0;
+    int m_openOperations = 0;
     bool m_isDone = false;
     std::vector<Attempt> m_attempts;
 };
--- /dev/null
+++ b/soak/faultinjector.h
@@ -0,0 +1,43 @@
+#pragma once
+
+#include "deployment.h"
+
+#include <boost/asio/io_context.hpp>
+
+#include <random>
+#include <string>
+#include <vector>
+
+namespace oleanderhall::soak {
+
+/// Internal: injects a random sequence of faults, which the seed determines. Faults may overlap.
+class FaultInjector
+{
+public:
+    FaultInjector(boost::asio::io_context &io, Deployment &deployment, std::uint32_t seed);
+
+    /// Schedules `count` faults that begin between `from` and `to` from now. Each ends by `to`, but
+    /// lasts at least 200 ms.
+    void plan(int count, Millis from, Millis to);
+    /// Ends the faults of the table and the proxies and resumes paused nodes. Neither nodes nor
+    /// workers that have terminated are restarted.
+    void clearAll();
+    /// Returns the injected faults in order, each with its scheduled time in ms.
+    const std::vector<std::string> &history() const { return m_history; }
+
+private:
+    using Action = std::function<void()>;
+
+    void schedule(Millis time, const std::string &what, Action action);
+    void planNodeFault(Millis begin, Millis length);
+    void planTableFault(Millis begin, Millis length);
+    void planConnectionFault(Millis begin, Millis length);
+    void planWorkerFault(Millis begin, Millis length);
+
+    boost::asio::io_context &m_io;
+    Deployment &m_deployment;
+    std::mt19937 m_random;
+    std::vector<std::string> m_history;
+};
+
+} // namespace oleanderhall::soak
--- /dev/null
+++ b/soak/invariantchecker.h
@@ -0,0 +1,73 @@
+#pragma once
+
+#include "../platform/standin/runobserver.h"
+
+#include "oleanderhall/core/time.h"
+#include "oleanderhall/jobs/jobspec.h"
+#include "oleanderhall/jobs/jobstate.h"
+
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace oleanderhall::soak {
+
+/// Internal: checks invariants on what callers and workers observe. No task runs twice at a time,
+/// before the steps that it depends on, more often than allowed, without a job or after its job was
+/// refused. No accepted job is lost or reported with a wrong state.
+class InvariantChecker : public platform::RunObserver
+{
+public:
+    // Events at callers.
+    void onSubmitted(const JobSpec &job);
+    void onAccepted(JobId id);
+    /// Every attempt to submit the job was refused, so it must never run.
+    void onRefused(JobId id);
+    void onCancelSent(JobId id);
+    /// A caller received the job's state, or nullopt when the node reported no such job.
+    void onStateReported(JobId id, std::optional<JobState> state);
+
+    // Events at workers.
+    void onRunStarted(const TaskId &task, std::int64_t run, const std::string &worker) override;
+    void onRunEnded(const TaskId &task, std::int64_t run, RunOutcome end) override;
+    void onEndAcknowledged(const TaskId &task, std::int64_t run) override;
+
+    /// Checks that every accepted job is finished and none of its tasks still runs. Call it when
+    /// all faults have ended and the jobs had time to finish.
+    void checkFinalState();
+    /// Returns whether every accepted job was reported in a final state.
+    bool areAllJobsFinished() const;
+    std::vector<JobId> unfinishedJobs() const;
+    const std::vector<std::string> &violations() const { return m_violations; }
+    std::size_t runs() const { return m_runs; }
+
+private:
+    struct Job
+    {
+        JobSpec spec;
+        bool isAccepted = false;
+        bool isRefused = false;
+        bool isCancelSent = false;
+        std::optional<JobState> reportedState;
+    };
+    struct Task
+    {
+        std::map<std::int64_t, std::string> running; ///< Worker by run number.
+        std::map<std::int64_t, RunOutcome> outcomes;
+        bool isDone = false;
+        bool isDoneAcknowledged = false;
+        int failures = 0;
+        int acknowledgedFailures = 0;
+    };
+
+    void addViolation(const std::string &what);
+    bool isStepDone(const Job &job, int step) const;
+
+    std::map<JobId, Job> m_jobs;
+    std::map<TaskId, Task> m_tasks;
+    std::vector<std::string> m_violations;
+    std::size_t m_runs = 0;
+};
+
+} // namespace oleanderhall::soak
--- a/soak/nodeprocess.cpp
+++ b/soak/nodeprocess.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-constexpr int kLogMode = 0644;
+constexpr int kLogFileMode = 0644;
 
 } // namespace
 
-NodeProcess::NodeProcess(std::vector<std::string> command, std::string log)
+NodeProcess::NodeProcess(std::vector<std::string> command, std::string logFile)
     : m_command(std::move(command))
-    , m_log(std::move(log))
+    , m_logFile(std::move(logFile))
 {}
 
 NodeProcess::~NodeProcess()
@@ -37,22 +37,22 @@
     arguments.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_log.c_str(),
-                                     O_WRONLY | O_CREAT | O_APPEND, kLogMode);
+    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_logFile.c_str(),
+                                     O_WRONLY | O_CREAT | O_APPEND, kLogFileMode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
     const int failed = posix_spawn(&m_pid, arguments.front(), &actions, nullptr, arguments.data(),
                                    environ);
     posix_spawn_file_actions_destroy(&actions);
     if (failed != 0)
         throw std::system_error(failed, std::generic_category(), m_command.front());
-    m_isEndWanted = false;
+    m_isTerminationRequested = false;
 }
 
 void NodeProcess::signal(int number) const
 {
     if (m_pid <= 0)
         return;
-    m_isEndWanted = m_isEndWanted || number == SIGKILL || number == SIGTERM;
+    m_isTerminationRequested = m_isTerminationRequested || number == SIGKILL || number == SIGTERM;
     ::kill(m_pid, number);
 }
 
@@ -62,7 +62,7 @@
         return false;
     if (::waitpid(m_pid, nullptr, WNOHANG) == 0)
         return true;
-    m_hasCrashed = m_hasCrashed || !m_isEndWanted;
+    m_hasCrashed = m_hasCrashed || !m_isTerminationRequested;
     m_pid = -1;
     return false;
 }
--- a/standin/platform/tableservice.h
+++ b/standin/platform/tableservice.h
@@ -10,22 +10,26 @@
 
 namespace standin {
 
-/// The answer to a table call: an HTTP status and a JSON body.
-struct TableAnswer
+/// The response to a table call: an HTTP status and a JSON body.
+struct TableResponse
 {
     int status = 200;
     web::json::value body = web::json::value::object();
 };
 
-/// A TableService is a small transactional table behind the DynamoDB JSON protocol. It knows what
-/// oleanderhall uses: TransactWriteItems with the conditions attribute_not_exists(pk) and
-/// ver = :ver, GetItem, and Query in key order.
+/// A TableService is an in-memory transactional table with the DynamoDB JSON protocol. It
+/// implements the subset that oleanderhall uses: TransactWriteItems with the conditions
+/// attribute_not_exists(pk) and ver = :ver, GetItem, and Query in key order. Thread-safe.
 class TableService
 {
 public:
-    TableAnswer handle(const std::string &operation, const web::json::value &request);
+    /// Executes an operation, which is the value of the X-Amz-Target header. Responds with status
+    /// 400 to an unknown operation, a transaction of more than 100 items or a failed condition.
+    /// Throws on a malformed request.
+    TableResponse handleRequest(const std::string &operation, const web::json::value &request);
 
-    /// Returns the journal of committed transactions: time in microseconds and request token.
+    /// Returns the committed transactions in order: time in microseconds of the monotonic clock and
+    /// request token.
     web::json::value journal() const;
 
 private:
@@ -36,10 +40,10 @@
         std::string token;
     };
 
-    TableAnswer transact(const web::json::value &request);
-    TableAnswer getItem(const web::json::value &request);
-    TableAnswer query(const web::json::value &request);
-    bool holds(const web::json::value &action, const Key &key) const;
+    TableResponse transact(const web::json::value &request);
+    TableResponse getItem(const web::json::value &request);
+    TableResponse query(const web::json::value &request);
+    bool conditionHolds(const web::json::value &action, const Key &key) const;
 
     mutable std::mutex m_mutex;
     std::map<Key, web::json::value> m_items;
