--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -80,21 +80,21 @@
     return job;
 }
 
-asio::awaitable<HttpAnswer> Callers::call(const std::string &method, const JobSpec &job,
+asio::awaitable<HttpResult> Callers::call(const std::string &method, const JobSpec &job,
                                           std::string body)
 {
     const auto &nodes = m_deployment.nodes();
     const std::string &node = nodes[m_random() % nodes.size()].callers;
-    auto shot = std::make_shared<OneShot<HttpAnswer>>(m_io.get_executor());
+    auto shot = std::make_shared<OneShot<HttpResult>>(m_io.get_executor());
     m_clients.at(node)->send(
         {.method = method,
          .target = job.queue.prefix + textOf(job.id),
          .headers = {{"Host", job.queue.host}, {"Content-Type", "application/json"}},
          .body = std::move(body),
          .timeout = kCallTime},
-        [shot](HttpAnswer answer) { shot->set(std::move(answer)); });
+        [shot](HttpResult answer) { shot->set(std::move(answer)); });
     auto answer = co_await shot->wait(std::chrono::steady_clock::now() + 2 * kCallTime);
-    co_return answer ? std::move(*answer) : HttpAnswer{};
+    co_return answer ? std::move(*answer) : HttpResult{};
 }
 
 /// Hands the job in until it is accepted. Returns whether it was.
@@ -103,8 +103,8 @@
     m_promises.submitted(job);
     bool mayBeStored = false;
     for (int tries = 0; tries < kSubmitTries; ++tries) {
-        const HttpAnswer answer = co_await call("POST", job, platform::encodeSubmission(job));
-        const bool isAnswered = answer.outcome == HttpAnswer::Outcome::Answered;
+        const HttpResult answer = co_await call("POST", job, platform::encodeSubmission(job));
+        const bool isAnswered = answer.outcome == HttpResult::Outcome::Responded;
         if (isAnswered && answer.status == kOk) {
             ++m_accepted;
             m_promises.accepted(job.id);
@@ -112,7 +112,7 @@
         }
         const bool isUnknown = isAnswered
             ? answer.status == kGatewayError || answer.status == kOutcomeUnknown
-            : answer.outcome == HttpAnswer::Outcome::Unknown;
+            : answer.outcome == HttpResult::Outcome::Unknown;
         mayBeStored = mayBeStored || isUnknown;
         co_await wait(kRetryDelay);
     }
@@ -133,15 +133,15 @@
         if (wantsCancel && ++polls == 2) {
             m_promises.cancelSent(job.id);
             for (;;) {
-                const HttpAnswer answer = co_await call("DELETE", job, "");
-                if (answer.outcome == HttpAnswer::Outcome::Answered
+                const HttpResult answer = co_await call("DELETE", job, "");
+                if (answer.outcome == HttpResult::Outcome::Responded
                     && (answer.status == kOk || answer.status == kGone))
                     break;
                 co_await wait(kRetryDelay);
             }
         }
-        const HttpAnswer answer = co_await call("GET", job, "");
-        if (answer.outcome != HttpAnswer::Outcome::Answered
+        const HttpResult answer = co_await call("GET", job, "");
+        if (answer.outcome != HttpResult::Outcome::Responded
             || (answer.status != kOk && answer.status != kGone))
             continue;
         const auto state = answer.status == kGone ? std::nullopt
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -34,7 +34,7 @@
     boost::asio::awaitable<void> arrive(double perSecond, Millis time);
     boost::asio::awaitable<void> live(JobSpec job);
     boost::asio::awaitable<bool> submit(const JobSpec &job);
-    boost::asio::awaitable<HttpAnswer> call(const std::string &method, const JobSpec &job,
+    boost::asio::awaitable<HttpResult> call(const std::string &method, const JobSpec &job,
                                             std::string body);
     boost::asio::awaitable<void> wait(Millis time);
     JobSpec makeJob();
--- a/src/daemon/controllermembers.cpp
+++ b/src/daemon/controllermembers.cpp
@@ -76,7 +76,7 @@
         live = m_members.live(timeNow()).size();
     }
     m_metrics.gauge("entry_hosts_live", static_cast<double>(live));
-    m_routes.setEntryHosts(static_cast<int>(std::max<std::size_t>(live, 1)));
+    m_routes.setEntryHostCount(static_cast<int>(std::max<std::size_t>(live, 1)));
 }
 
 void Controller::readHostList(Instant now)
--- a/src/daemon/entryhost.cpp
+++ b/src/daemon/entryhost.cpp
@@ -63,10 +63,10 @@
     limits.bodyBytes = static_cast<std::size_t>(settings.maxBodyBytes);
     limits.bufferedBytes = static_cast<std::size_t>(settings.maxBufferedBytes);
     limits.connections = settings.maxConnections;
-    limits.headerTime = settings.headerTime;
-    limits.bodyTime = settings.bodyTime;
-    limits.idleTime = settings.idleTime;
-    limits.answerTime = settings.answerTime;
+    limits.headerTimeout = settings.headerTime;
+    limits.bodyTimeout = settings.bodyTime;
+    limits.idleTimeout = settings.idleTime;
+    limits.responseTimeout = settings.answerTime;
     return limits;
 }
 
@@ -143,8 +143,8 @@
         m_metrics.gauge("ready_instances", m_routes.upstreamCount());
         m_metrics.gauge("requests_in_flight", inFlight);
         m_metrics.gauge("requests_waiting", waiting);
-        m_metrics.gauge("caller_connections", m_callers->connections());
-        m_upstreams.setConnectionShare(m_routes.connectionShare());
+        m_metrics.gauge("caller_connections", m_callers->connectionCount());
+        m_upstreams.setMaxConnections(m_routes.maxConnectionsPerUpstream());
     }
 
     /// Not ready first, then no new connections, then what is in flight, then control, then the
@@ -160,18 +160,19 @@
             return stopHard();
         m_callers->stop();
         const Instant latest = std::chrono::steady_clock::now() + m_settings.stopLimit;
-        while (m_callers->busy() > 0 && std::chrono::steady_clock::now() < latest) {
+        while (m_callers->requestsInFlight() > 0 && std::chrono::steady_clock::now() < latest) {
             if (waitForStop(signals, Millis(20)))
                 return stopHard();
         }
         m_controller.stop();
-        logInfo("stopped", {{"cutOff", std::to_string(m_callers->busy())}});
-        return m_callers->busy() == 0 ? 0 : kStoppedHard;
+        logInfo("stopped", {{"cutOff", std::to_string(m_callers->requestsInFlight())}});
+        return m_callers->requestsInFlight() == 0 ? 0 : kStoppedHard;
     }
 
     int stopHard()
     {
-        logWarning("stopped_by_second_signal", {{"cutOff", std::to_string(m_callers->busy())}});
+        logWarning("stopped_by_second_signal",
+                   {{"cutOff", std::to_string(m_callers->requestsInFlight())}});
         return kStoppedHard;
     }
 
--- a/src/http/callerserver.cpp
+++ b/src/http/callerserver.cpp
@@ -21,7 +21,7 @@
 
 using BodyParser = http::request_parser<http::string_body>;
 
-constexpr Millis kComeBack{1000};
+constexpr Millis kRetryAfter{1000};
 
 RefusalReason reasonFor(const beast::error_code &failed)
 {
@@ -38,29 +38,29 @@
 {
     explicit Session(asio::ip::tcp::socket socket, std::size_t headerBytes)
         : stream(std::move(socket))
-        , limit(stream.get_executor())
+        , readTimer(stream.get_executor())
         , buffer(2 * headerBytes)
     {}
 
     /// Cancels what waits on the stream at `latest`. Unlike the stream's own limit, this leaves the
     /// connection open for a refusal. Runs on the session's strand, as all that follows.
-    void limitReads(Instant latest)
+    void startReadTimer(Instant latest)
     {
         isTimedOut = false;
         stream.expires_never();
-        limit.expires_at(latest);
-        limit.async_wait([this, self = weakSelf.lock()](const beast::error_code &cancelled) {
-            if (cancelled || !areReadsLimited)
+        readTimer.expires_at(latest);
+        readTimer.async_wait([this, self = weakSelf.lock()](const beast::error_code &cancelled) {
+            if (cancelled || !isReadTimerActive)
                 return;
             isTimedOut = true;
             stream.cancel();
         });
-        areReadsLimited = true;
+        isReadTimerActive = true;
     }
-    void endLimit()
+    void stopReadTimer()
     {
-        areReadsLimited = false;
-        limit.cancel();
+        isReadTimerActive = false;
+        readTimer.cancel();
     }
 
     Refusal refusalFor(const beast::error_code &failed) const
@@ -71,13 +71,13 @@
 
     std::weak_ptr<Session> weakSelf;
     beast::tcp_stream stream;
-    asio::steady_timer limit;
-    bool areReadsLimited = false;
+    asio::steady_timer readTimer;
+    bool isReadTimerActive = false;
     bool isTimedOut = false;
     beast::flat_buffer buffer;
     std::unique_ptr<BodyParser> parser;
-    std::atomic<bool> isBusy{false};
-    std::size_t reserved = 0;
+    std::atomic<bool> isHandlingRequest{false};
+    std::size_t reservedBytes = 0;
 };
 
 CallerServer::CallerServer(asio::io_context &io, CallerLimits limits, RequestHandler handler,
@@ -117,7 +117,7 @@
     const std::lock_guard lock(m_mutex);
     for (const SessionPtr &session : m_sessions) {
         asio::post(session->stream.get_executor(), [session] {
-            if (!session->isBusy)
+            if (!session->isHandlingRequest)
                 session->stream.close();
         });
     }
@@ -137,7 +137,7 @@
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, failed));
             continue;
         }
-        if (m_open >= m_limits.connections) {
+        if (m_connectionCount >= m_limits.connections) {
             m_metrics.countRefusal(RefusalReason::TooManyConnections);
             continue;
         }
@@ -148,31 +148,32 @@
             const std::lock_guard lock(m_mutex);
             m_sessions.insert(session);
         }
-        ++m_open;
+        ++m_connectionCount;
         asio::co_spawn(
             session->stream.get_executor(),
-            [self = shared_from_this(), session] { return self->serve(session); }, asio::detached);
+            [self = shared_from_this(), session] { return self->runSession(session); },
+            asio::detached);
     }
 }
 
-asio::awaitable<void> CallerServer::serve(SessionPtr session)
+asio::awaitable<void> CallerServer::runSession(SessionPtr session)
 {
     try {
-        while (co_await serveOne(session)) {}
+        while (co_await serveRequest(session)) {}
     } catch (const std::exception &) {
         m_metrics.count("caller_sessions_failed_total");
     }
-    if (session->isBusy)
-        --m_busy;
-    m_buffered -= session->reserved;
-    session->endLimit();
+    if (session->isHandlingRequest)
+        --m_requestsInFlight;
+    m_bufferedBytes -= session->reservedBytes;
+    session->stopReadTimer();
     session->stream.close();
     const std::lock_guard lock(m_mutex);
     m_sessions.erase(session);
-    --m_open;
+    --m_connectionCount;
 }
 
-asio::awaitable<bool> CallerServer::serveOne(SessionPtr session)
+asio::awaitable<bool> CallerServer::serveRequest(SessionPtr session)
 {
     session->parser = std::make_unique<BodyParser>();
     BodyParser &parser = *session->parser;
@@ -181,19 +182,19 @@
     beast::error_code failed;
     if (session->buffer.size() == 0) {
         // Waits for the first byte with nothing held but the buffer.
-        session->stream.expires_after(m_limits.idleTime);
+        session->stream.expires_after(m_limits.idleTimeout);
         const std::size_t received = co_await session->stream.async_read_some(
             session->buffer.prepare(1024), asio::redirect_error(asio::use_awaitable, failed));
         if (failed)
             co_return false;
         session->buffer.commit(received);
     }
-    session->isBusy = true;
-    ++m_busy;
-    session->limitReads(std::chrono::steady_clock::now() + m_limits.headerTime);
+    session->isHandlingRequest = true;
+    ++m_requestsInFlight;
+    session->startReadTimer(std::chrono::steady_clock::now() + m_limits.headerTimeout);
     co_await http::async_read_header(session->stream, session->buffer, parser,
                                      asio::redirect_error(asio::use_awaitable, failed));
-    session->endLimit();
+    session->stopReadTimer();
     if (failed == http::error::end_of_stream || failed == http::error::partial_message)
         co_return false;
     if (failed)
@@ -208,9 +209,9 @@
     const Reply reply = co_await m_handler(request);
     const bool staysOpen = co_await write(session, reply, version, keepAlive && !m_isDraining,
                                           isHead);
-    m_buffered -= std::exchange(session->reserved, 0);
-    session->isBusy = false;
-    --m_busy;
+    m_bufferedBytes -= std::exchange(session->reservedBytes, 0);
+    session->isHandlingRequest = false;
+    --m_requestsInFlight;
     co_return staysOpen;
 }
 
@@ -229,20 +230,20 @@
                                                      : m_limits.bodyBytes;
     if (size > m_limits.bodyBytes)
         co_return Refusal{RefusalReason::BodyTooLarge, Ran::No, std::nullopt};
-    if (m_buffered + size > m_limits.bufferedBytes)
-        co_return Refusal{RefusalReason::Overloaded, Ran::No, kComeBack};
-    m_buffered += size;
-    session->reserved = size;
+    if (m_bufferedBytes + size > m_limits.bufferedBytes)
+        co_return Refusal{RefusalReason::Overloaded, Ran::No, kRetryAfter};
+    m_bufferedBytes += size;
+    session->reservedBytes = size;
     beast::error_code failed;
     if (beast::iequals(header[http::field::expect], "100-continue")) {
         http::response<http::empty_body> proceed(http::status::continue_, header.version());
         co_await http::async_write(session->stream, proceed,
                                    asio::redirect_error(asio::use_awaitable, failed));
     }
-    session->limitReads(headerEnd + m_limits.bodyTime);
+    session->startReadTimer(headerEnd + m_limits.bodyTimeout);
     co_await http::async_read(session->stream, session->buffer, parser,
                               asio::redirect_error(asio::use_awaitable, failed));
-    session->endLimit();
+    session->stopReadTimer();
     if (failed)
         co_return session->refusalFor(failed);
     co_return std::nullopt;
@@ -258,7 +259,7 @@
     if (!isHead)
         response.body() = reply.body;
     response.content_length(reply.body.size());
-    session->stream.expires_after(m_limits.answerTime);
+    session->stream.expires_after(m_limits.responseTimeout);
     beast::error_code failed;
     co_await http::async_write(session->stream, response,
                                asio::redirect_error(asio::use_awaitable, failed));
@@ -276,7 +277,7 @@
     session->stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     // Reads on for a moment, so that the refusal is not lost in a reset.
     constexpr int kDrainReads = 16;
-    session->stream.expires_after(kComeBack);
+    session->stream.expires_after(kRetryAfter);
     for (int count = 0; count < kDrainReads && !ignored; ++count) {
         std::array<char, 4096> dropped;
         co_await session->stream.async_read_some(
--- a/src/http/callerserver.h
+++ b/src/http/callerserver.h
@@ -35,10 +35,10 @@
     std::size_t bodyBytes = 1UL << 20;
     std::size_t bufferedBytes = 8UL << 20; ///< Bodies of all requests together.
     int connections = 512;
-    Millis headerTime{5000};
-    Millis bodyTime{10000};
-    Millis idleTime{30000};
-    Millis answerTime{10000}; ///< For a caller to take in its answer.
+    Millis headerTimeout{5000};
+    Millis bodyTimeout{10000};
+    Millis idleTimeout{30000};
+    Millis responseTimeout{10000}; ///< For a caller to take in its answer.
 };
 
 /// Internal: the callers' side of the entry host: an HTTP/1.1 server with a limit on everything
@@ -56,16 +56,16 @@
     /// Stops to accept; idle connections are closed, requests in flight are answered.
     void stop();
     /// Returns how many requests are being worked on.
-    int busy() const { return m_busy; }
-    int connections() const { return m_open; }
+    int requestsInFlight() const { return m_requestsInFlight; }
+    int connectionCount() const { return m_connectionCount; }
 
 private:
     struct Session;
     using SessionPtr = std::shared_ptr<Session>;
 
     boost::asio::awaitable<void> acceptLoop();
-    boost::asio::awaitable<void> serve(SessionPtr session);
-    boost::asio::awaitable<bool> serveOne(SessionPtr session);
+    boost::asio::awaitable<void> runSession(SessionPtr session);
+    boost::asio::awaitable<bool> serveRequest(SessionPtr session);
     boost::asio::awaitable<std::optional<Refusal>> readBody(SessionPtr session, Instant headerEnd);
     boost::asio::awaitable<bool> write(SessionPtr session, const Reply &reply, unsigned version,
                                        bool keepAlive, bool isHead);
@@ -78,9 +78,9 @@
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::atomic<bool> m_isDraining{false};
     std::atomic<bool> m_isStopping{false};
-    std::atomic<int> m_open{0};
-    std::atomic<int> m_busy{0};
-    std::atomic<std::size_t> m_buffered{0};
+    std::atomic<int> m_connectionCount{0};
+    std::atomic<int> m_requestsInFlight{0};
+    std::atomic<std::size_t> m_bufferedBytes{0};
     std::mutex m_mutex;
     std::set<SessionPtr> m_sessions;
 };
--- a/src/http/callparser.cpp
+++ b/src/http/callparser.cpp
@@ -67,7 +67,7 @@
                        });
 }
 
-bool isVisibleText(std::string_view text)
+bool isPrintableAscii(std::string_view text)
 {
     return std::all_of(text.begin(), text.end(),
                        [](char character) { return character > ' ' && character <= '~'; });
@@ -75,13 +75,13 @@
 
 std::optional<Refusal> checkKey(const HttpRequest &request, Call &call)
 {
-    const auto keys = request.count(kKeyHeader);
+    const auto keys = request.count(kIdempotencyKeyHeader);
     if (keys == 0)
         return call.isUnrepeatable ? std::optional(refuse(RefusalReason::MissingKey))
                                    : std::nullopt;
-    call.idempotencyKey = std::string(view(request.at(kKeyHeader)));
+    call.idempotencyKey = std::string(view(request.at(kIdempotencyKeyHeader)));
     const bool isUsable = keys == 1 && !call.idempotencyKey.empty()
-        && call.idempotencyKey.size() <= kMaxKeyLength && isVisibleText(call.idempotencyKey);
+        && call.idempotencyKey.size() <= kMaxKeyLength && isPrintableAscii(call.idempotencyKey);
     if (!isUsable)
         return refuse(RefusalReason::BadKey);
     return std::nullopt;
--- a/src/http/callparser.h
+++ b/src/http/callparser.h
@@ -18,7 +18,7 @@
 inline constexpr std::size_t kMaxKeyLength = 255; // bytes
 inline constexpr std::int64_t kMaxTimeoutMs = 600000; // milliseconds
 inline constexpr const char *kTimeoutHeader = "X-Request-Timeout-Ms";
-inline constexpr const char *kKeyHeader = "Idempotency-Key";
+inline constexpr const char *kIdempotencyKeyHeader = "Idempotency-Key";
 
 /// Internal: checks a request and turns it into a Call, or says why it is refused. Takes the body
 /// out of `request` only when a Call is returned.
--- a/src/http/claimservice.cpp
+++ b/src/http/claimservice.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr std::size_t kMaxBatch = 25; // claims in one transaction
-constexpr std::size_t kMaxEndings = 20000; // endings kept while the table is away
+constexpr std::size_t kMaxBatchSize = 25; // claims in one transaction
+constexpr std::size_t kMaxOutcomeWrites = 20000; // endings kept while the table is away
 constexpr int kClaimThreads = 3;
-constexpr int kEndingTries = 60;
-constexpr int kReleaseTries = 5;
-constexpr Millis kEndingRetryDelay{1000};
-constexpr Millis kLongestClaim{1000}; // a request waits no longer for the table
-constexpr Millis kOutageProbePeriod{500};
-constexpr std::size_t kMaxKeptBody = 4096; // bytes of an answer kept for repetitions
+constexpr int kOutcomeWriteAttempts = 60;
+constexpr int kReleaseAttempts = 5;
+constexpr Millis kOutcomeRetryDelay{1000};
+constexpr Millis kMaxClaimWait{1000}; // a request waits no longer for the table
+constexpr Millis kProbeInterval{500};
+constexpr std::size_t kMaxStoredBodyBytes = 4096; // bytes of an answer kept for repetitions
 
 std::string hashOf(const std::string &text)
 {
@@ -42,14 +42,14 @@
 } // namespace
 
 ClaimService::ClaimService(DynamoTable &table)
-    : m_ledger(table)
-    , m_outage(kOutageProbePeriod)
+    : m_claimStore(table)
+    , m_circuitBreaker(kProbeInterval)
 {
     std::random_device seed;
     m_tokenPrefix = std::to_string(seed()) + "-" + std::to_string(seed());
     for (int index = 0; index < kClaimThreads; ++index)
         m_threads.emplace_back([this] { claimLoop(); });
-    m_threads.emplace_back([this] { endingLoop(); });
+    m_threads.emplace_back([this] { outcomeWriteLoop(); });
 }
 
 ClaimService::~ClaimService()
@@ -59,7 +59,7 @@
         m_isStopping = true;
     }
     m_claimsChanged.notify_all();
-    m_endingsChanged.notify_all();
+    m_outcomeWritesChanged.notify_all();
     for (std::thread &thread : m_threads)
         thread.join();
 }
@@ -73,68 +73,69 @@
     auto result = std::make_shared<OneShot<ClaimOutcome>>(executor);
     {
         const std::lock_guard lock(m_mutex);
-        if (!m_outage.mayTry(now))
+        if (!m_circuitBreaker.mayTry(now))
             co_return unavailable;
         ClaimRequest request{{"claim-" + service, std::move(key)}, hashOf(body), newToken()};
-        m_pending.push_back({std::move(request), result});
+        m_pendingClaims.push_back({std::move(request), result});
     }
     m_claimsChanged.notify_one();
     std::optional<ClaimOutcome> outcome = co_await result->wait(
-        std::min(deadline, now + kLongestClaim));
+        std::min(deadline, now + kMaxClaimWait));
     if (outcome)
         co_return std::move(*outcome);
     co_return unavailable;
 }
 
-void ClaimService::settle(const ClaimHandle &handle, ClaimRecord record)
+void ClaimService::recordOutcome(const ClaimHandle &handle, ClaimRecord record)
 {
-    if (record.keepsBody && record.body.size() > kMaxKeptBody) {
+    if (record.keepsBody && record.body.size() > kMaxStoredBodyBytes) {
         record.body.clear();
         record.keepsBody = false;
     }
-    addEnding({handle, std::move(record), false, kEndingTries, Instant{}});
+    enqueueWrite({handle, std::move(record), false, kOutcomeWriteAttempts, Instant{}});
 }
 
 void ClaimService::claimLoop()
 {
     for (;;) {
-        const std::vector<Pending> batch = takeBatch();
+        const std::vector<PendingClaim> batch = takeBatch();
         if (batch.empty())
             return;
-        runBatch(batch);
+        claimBatch(batch);
     }
 }
 
-std::vector<ClaimService::Pending> ClaimService::takeBatch()
+std::vector<ClaimService::PendingClaim> ClaimService::takeBatch()
 {
     std::unique_lock lock(m_mutex);
-    m_claimsChanged.wait(lock, [this] { return m_isStopping || !m_pending.empty(); });
-    std::vector<Pending> batch;
+    m_claimsChanged.wait(lock, [this] { return m_isStopping || !m_pendingClaims.empty(); });
+    std::vector<PendingClaim> batch;
     std::set<TableKey> keys;
-    for (auto item = m_pending.begin(); item != m_pending.end() && batch.size() < kMaxBatch;) {
+    for (auto item = m_pendingClaims.begin();
+         item != m_pendingClaims.end() && batch.size() < kMaxBatchSize;) {
         if (!keys.insert(item->request.key).second) {
             ++item;
             continue;
         }
         batch.push_back(std::move(*item));
-        item = m_pending.erase(item);
+        item = m_pendingClaims.erase(item);
     }
     return batch;
 }
 
-void ClaimService::runBatch(const std::vector<Pending> &batch)
+void ClaimService::claimBatch(const std::vector<PendingClaim> &batch)
 {
     std::vector<ClaimRequest> requests;
     requests.reserve(batch.size());
-    for (const Pending &pending : batch)
+    for (const PendingClaim &pending : batch)
         requests.push_back(pending.request);
     std::vector<ClaimOutcome> outcomes;
     try {
-        outcomes = m_ledger.claim(requests);
+        outcomes = m_claimStore.claim(requests);
     } catch (const std::exception &) {
         outcomes.assign(batch.size(), claimsUnavailable());
     }
-    noteOutcome(outcomes);
+    updateCircuitBreaker(outcomes);
     for (std::size_t index = 0; index < batch.size(); ++index) {
         const auto *refusal = std::get_if<Refusal>(&outcomes[index]);
         const bool mayStillLand = refusal && refusal->reason == RefusalReason::ClaimsUnavailable;
@@ -147,11 +148,11 @@
             batch[index].request.key,
             0,
             {.token = batch[index].request.token, .bodyHash = batch[index].request.bodyHash}};
-        addEnding({handle, handle.record, true, kReleaseTries, Instant{}});
+        enqueueWrite({handle, handle.record, true, kReleaseAttempts, Instant{}});
     }
 }
 
-void ClaimService::noteOutcome(const std::vector<ClaimOutcome> &outcomes)
+void ClaimService::updateCircuitBreaker(const std::vector<ClaimOutcome> &outcomes)
 {
     const bool isAway = std::all_of(outcomes.begin(), outcomes.end(), [](const auto &outcome) {
         const auto *refusal = std::get_if<Refusal>(&outcome);
@@ -159,59 +160,60 @@
     });
     const std::lock_guard lock(m_mutex);
     if (isAway)
-        m_outage.failed(std::chrono::steady_clock::now());
+        m_circuitBreaker.failed(std::chrono::steady_clock::now());
     else
-        m_outage.succeeded();
+        m_circuitBreaker.succeeded();
 }
 
-void ClaimService::endingLoop()
+void ClaimService::outcomeWriteLoop()
 {
     std::unique_lock lock(m_mutex);
     for (;;) {
-        m_endingsChanged.wait(lock, [this] { return m_isStopping || !m_endings.empty(); });
-        if (m_endings.empty())
+        m_outcomeWritesChanged.wait(lock,
+                                    [this] { return m_isStopping || !m_outcomeWrites.empty(); });
+        if (m_outcomeWrites.empty())
             return;
-        Ending ending = std::move(m_endings.front());
-        m_endings.pop_front();
+        OutcomeWrite ending = std::move(m_outcomeWrites.front());
+        m_outcomeWrites.pop_front();
         const Instant now = std::chrono::steady_clock::now();
         if (ending.notBefore > now) {
-            m_endings.push_back(std::move(ending));
-            m_endingsChanged.wait_for(lock, Millis(50));
+            m_outcomeWrites.push_back(std::move(ending));
+            m_outcomeWritesChanged.wait_for(lock, Millis(50));
             if (m_isStopping)
                 return;
             continue;
         }
         lock.unlock();
-        const bool isDone = runEnding(ending);
+        const bool isDone = writeOutcome(ending);
         lock.lock();
-        if (isDone || --ending.triesLeft <= 0)
+        if (isDone || --ending.attemptsLeft <= 0)
             continue;
-        ending.notBefore = std::chrono::steady_clock::now() + kEndingRetryDelay;
-        m_endings.push_back(std::move(ending));
+        ending.notBefore = std::chrono::steady_clock::now() + kOutcomeRetryDelay;
+        m_outcomeWrites.push_back(std::move(ending));
     }
 }
 
-bool ClaimService::runEnding(const Ending &ending)
+bool ClaimService::writeOutcome(const OutcomeWrite &ending)
 {
     try {
         if (!ending.isRelease)
-            return m_ledger.settle(ending.handle, ending.record);
-        return m_ledger.releaseIfHeld(
+            return m_claimStore.settle(ending.handle, ending.record);
+        return m_claimStore.releaseIfHeld(
             {ending.handle.key, ending.record.bodyHash, ending.record.token});
     } catch (const std::exception &) {
         return false;
     }
 }
 
-void ClaimService::addEnding(Ending ending)
+void ClaimService::enqueueWrite(OutcomeWrite ending)
 {
     {
         const std::lock_guard lock(m_mutex);
-        if (m_endings.size() >= kMaxEndings)
+        if (m_outcomeWrites.size() >= kMaxOutcomeWrites)
             return; // The claim stays open: repetitions are told that the outcome is unknown.
-        m_endings.push_back(std::move(ending));
+        m_outcomeWrites.push_back(std::move(ending));
     }
-    m_endingsChanged.notify_one();
+    m_outcomeWritesChanged.notify_one();
 }
 
 std::string ClaimService::newToken()
--- a/src/http/claimservice.h
+++ b/src/http/claimservice.h
@@ -33,42 +33,42 @@
     boost::asio::awaitable<ClaimOutcome> claim(std::string service, std::string key,
                                                std::string body, Instant deadline);
     /// Records how the request ended. Returns at once.
-    void settle(const ClaimHandle &handle, ClaimRecord record);
+    void recordOutcome(const ClaimHandle &handle, ClaimRecord record);
 
 private:
-    struct Pending
+    struct PendingClaim
     {
         ClaimRequest request;
         std::shared_ptr<OneShot<ClaimOutcome>> result;
     };
-    struct Ending
+    struct OutcomeWrite
     {
         ClaimHandle handle;
         ClaimRecord record;
         bool isRelease = false; ///< Release whatever row holds the handle's token.
-        int triesLeft = 0;
+        int attemptsLeft = 0;
         Instant notBefore;
     };
 
     void claimLoop();
-    void endingLoop();
-    std::vector<Pending> takeBatch();
-    void runBatch(const std::vector<Pending> &batch);
-    bool runEnding(const Ending &ending);
-    void addEnding(Ending ending);
-    void noteOutcome(const std::vector<ClaimOutcome> &outcomes);
+    void outcomeWriteLoop();
+    std::vector<PendingClaim> takeBatch();
+    void claimBatch(const std::vector<PendingClaim> &batch);
+    bool writeOutcome(const OutcomeWrite &ending);
+    void enqueueWrite(OutcomeWrite ending);
+    void updateCircuitBreaker(const std::vector<ClaimOutcome> &outcomes);
     std::string newToken();
 
-    ClaimLedger<DynamoTable> m_ledger;
+    ClaimLedger<DynamoTable> m_claimStore;
     std::string m_tokenPrefix;
     std::mutex m_mutex;
     std::condition_variable m_claimsChanged;
-    std::condition_variable m_endingsChanged;
-    OutageGate m_outage;
+    std::condition_variable m_outcomeWritesChanged;
+    OutageGate m_circuitBreaker;
     bool m_isStopping = false;
     std::uint64_t m_lastToken = 0;
-    std::deque<Pending> m_pending;
-    std::deque<Ending> m_endings;
+    std::deque<PendingClaim> m_pendingClaims;
+    std::deque<OutcomeWrite> m_outcomeWrites;
     std::vector<std::thread> m_threads;
 };
 
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -17,17 +17,17 @@
 
 namespace {
 
-constexpr int kMaxTries = 4; // upstreams for one request
-constexpr int kPlenty = 3; // times the expected latency
-constexpr Millis kShortestTry{50}; // of a request that may be tried again
-constexpr Millis kComeBack{1000};
+constexpr int kMaxAttempts = 4; // upstreams for one request
+constexpr int kMinLatencyMultiple = 3; // times the expected latency
+constexpr Millis kMinAttemptTime{50}; // of a request that may be tried again
+constexpr Millis kRetryAfter{1000};
 
 Instant timeNow()
 {
     return std::chrono::steady_clock::now();
 }
 
-Millis since(Instant start)
+Millis elapsedSince(Instant start)
 {
     return std::chrono::duration_cast<Millis>(timeNow() - start);
 }
@@ -40,18 +40,18 @@
 
 /// A request that may be tried again leaves half of its time for the next try, if half is plenty
 /// for this one. Cutting a try short that would have been answered wastes the slot that it holds.
-Instant latestAnswer(const Call &call, int tries, Millis expected)
+Instant attemptDeadline(const Call &call, int tries, Millis expected)
 {
     const Instant now = timeNow();
-    if (call.isUnrepeatable || tries + 1 >= kMaxTries)
+    if (call.isUnrepeatable || tries + 1 >= kMaxAttempts)
         return call.deadline;
     const auto half = std::chrono::duration_cast<Millis>((call.deadline - now) / 2);
-    if (half < kPlenty * expected)
+    if (half < kMinLatencyMultiple * expected)
         return call.deadline;
-    return std::min(call.deadline, now + std::max(half, kShortestTry));
+    return std::min(call.deadline, now + std::max(half, kMinAttemptTime));
 }
 
-std::string headerOf(const HeaderList &headers, std::string_view wanted)
+std::string headerValue(const HeaderList &headers, std::string_view wanted)
 {
     for (const auto &[name, value] : headers) {
         if (boost::beast::iequals(name, {wanted.data(), wanted.size()}))
@@ -71,22 +71,22 @@
 
 struct Dispatcher::Progress
 {
-    int tries = 0;
-    bool wasSent = false; ///< An earlier try was sent and its outcome is unknown.
-    std::vector<HostId> tried;
+    int attempts = 0;
+    bool hasUnknownOutcome = false; ///< An earlier try was sent and its outcome is unknown.
+    std::vector<HostId> triedHosts;
     std::optional<ClaimHandle> claim;
     std::vector<std::string> steps;
 };
 
-Dispatcher::Dispatcher(DispatcherParts parts)
-    : m_parts(parts)
+Dispatcher::Dispatcher(DispatcherDependencies parts)
+    : m_deps(parts)
     , m_budget(parts.retryPercent)
 {}
 
 asio::awaitable<Reply> Dispatcher::dispatch(Call call)
 {
     Progress progress;
-    m_parts.metrics.countFirstTry();
+    m_deps.metrics.countFirstTry();
     {
         const std::lock_guard lock(m_budgetMutex);
         m_budget.countFirstTry(timeNow());
@@ -94,13 +94,13 @@
     std::optional<Reply> reply;
     while (!reply) {
         if (timeNow() >= call.deadline)
-            reply = refuse(call, progress, {RefusalReason::UpstreamTimeout, Ran::No, kComeBack});
+            reply = refuse(call, progress, {RefusalReason::UpstreamTimeout, Ran::No, kRetryAfter});
         else
             reply = co_await attempt(call, progress);
     }
     progress.steps.push_back("status " + std::to_string(reply->status));
-    m_parts.traces.add(
-        {headerOf(call.headers, "X-Request-Id"), call.rule.id.name(), std::move(progress.steps)});
+    m_deps.traces.add({headerValue(call.headers, "X-Request-Id"), call.rule.id.name(),
+                       std::move(progress.steps)});
     co_return std::move(*reply);
 }
 
@@ -110,37 +110,39 @@
     // Built here, as g++ 12 destroys an aggregate twice that is built inside a co_await expression.
     SlotRequest request;
     request.deadline = call.deadline;
-    request.viewIsFresh = m_parts.view.isFresh(timeNow());
-    request.avoid = progress.tried;
-    const SlotResult slot = co_await m_parts.routes.acquire(service, std::move(request));
+    request.viewIsFresh = m_deps.view.isFresh(timeNow());
+    request.avoid = progress.triedHosts;
+    const SlotResult slot = co_await m_deps.routes.acquire(service, std::move(request));
     if (const auto *refusal = std::get_if<Refusal>(&slot)) {
-        const bool hasTriedAll = refusal->reason == RefusalReason::NoUpstream && progress.tries > 0;
+        const bool hasTriedAll = refusal->reason == RefusalReason::NoUpstream
+            && progress.attempts > 0;
         co_return refuse(call, progress,
                          hasTriedAll
-                             ? Refusal{RefusalReason::UpstreamUnreachable, Ran::No, kComeBack}
+                             ? Refusal{RefusalReason::UpstreamUnreachable, Ran::No, kRetryAfter}
                              : *refusal);
     }
     const Endpoint endpoint = std::get<Endpoint>(slot);
     if (call.isUnrepeatable && !progress.claim) {
-        std::optional<Reply> refused = co_await claimFor(call, progress);
+        std::optional<Reply> refused = co_await acquireClaim(call, progress);
         if (refused) {
-            m_parts.routes.release(service, endpoint, AttemptResult::NotTried, Millis(0));
+            m_deps.routes.release(service, endpoint, AttemptResult::NotTried, Millis(0));
             co_return refused;
         }
     }
     // The view may have changed, or this process may have been paused, since the slot was granted.
-    if (!m_parts.routes.isCurrent(service, endpoint)) {
-        m_parts.routes.release(service, endpoint, AttemptResult::NotTried, Millis(0));
+    if (!m_deps.routes.isCurrent(service, endpoint)) {
+        m_deps.routes.release(service, endpoint, AttemptResult::NotTried, Millis(0));
         co_return std::nullopt;
     }
-    ++progress.tries;
+    ++progress.attempts;
     const Instant started = timeNow();
-    UpstreamOutcome outcome = co_await m_parts.upstreams.send(
-        endpoint, call, latestAnswer(call, progress.tries, m_parts.routes.expectedLatency(service)),
+    UpstreamOutcome outcome = co_await m_deps.upstreams.send(
+        endpoint, call,
+        attemptDeadline(call, progress.attempts, m_deps.routes.expectedLatency(service)),
         !call.isUnrepeatable);
     using Kind = UpstreamOutcome::Kind;
     AttemptResult result = AttemptResult::Broken;
-    if (outcome.kind == Kind::Answered) {
+    if (outcome.kind == Kind::Responded) {
         result = isNotRunStatus(call.rule, outcome.reply.status) ? AttemptResult::Refused
                                                                  : AttemptResult::Answered;
     } else if (outcome.kind == Kind::NotSent) {
@@ -148,13 +150,13 @@
     } else if (outcome.kind == Kind::Stale) {
         result = AttemptResult::NotTried;
     }
-    m_parts.routes.release(service, endpoint, result, since(started));
-    co_return judge(call, progress, endpoint, std::move(outcome));
+    m_deps.routes.release(service, endpoint, result, elapsedSince(started));
+    co_return handleOutcome(call, progress, endpoint, std::move(outcome));
 }
 
-asio::awaitable<std::optional<Reply>> Dispatcher::claimFor(Call &call, Progress &progress)
+asio::awaitable<std::optional<Reply>> Dispatcher::acquireClaim(Call &call, Progress &progress)
 {
-    const ClaimOutcome outcome = co_await m_parts.claims.claim(
+    const ClaimOutcome outcome = co_await m_deps.claims.claim(
         call.rule.id.name(), call.idempotencyKey,
         call.method + " " + call.target + "\n" + call.body, call.deadline);
     if (const auto *handle = std::get_if<ClaimHandle>(&outcome)) {
@@ -166,32 +168,32 @@
         if (!replay->contentType.empty())
             reply.headers.emplace_back("Content-Type", replay->contentType);
         reply.headers.emplace_back("Idempotency-Replayed", "true");
-        m_parts.metrics.count("replayed_answers_total");
+        m_deps.metrics.count("replayed_answers_total");
         co_return reply;
     }
     co_return refuse(call, progress, std::get<Refusal>(outcome));
 }
 
-std::optional<Reply> Dispatcher::judge(Call &call, Progress &progress, const Endpoint &endpoint,
-                                       UpstreamOutcome outcome)
+std::optional<Reply> Dispatcher::handleOutcome(Call &call, Progress &progress,
+                                               const Endpoint &endpoint, UpstreamOutcome outcome)
 {
     using Kind = UpstreamOutcome::Kind;
     progress.steps.push_back(endpoint.host.name() + " " + std::string(nameOf(outcome.kind)));
     if (outcome.kind != Kind::Stale)
-        progress.tried.push_back(endpoint.host);
+        progress.triedHosts.push_back(endpoint.host);
     if (outcome.kind == Kind::NotSent) {
-        m_parts.metrics.countRetry(RetryReason::ConnectFailed);
-        if (progress.tries < kMaxTries)
+        m_deps.metrics.countRetry(RetryReason::ConnectFailed);
+        if (progress.attempts < kMaxAttempts)
             return std::nullopt;
-        return refuse(call, progress, {RefusalReason::UpstreamUnreachable, Ran::No, kComeBack});
+        return refuse(call, progress, {RefusalReason::UpstreamUnreachable, Ran::No, kRetryAfter});
     }
-    if (outcome.kind == Kind::Answered) {
+    if (outcome.kind == Kind::Responded) {
         if (!isNotRunStatus(call.rule, outcome.reply.status))
-            return answer(call, progress, std::move(outcome.reply));
+            return forwardResponse(call, progress, std::move(outcome.reply));
         return retryOrRefuse(call, progress, RetryReason::UpstreamRefused,
-                             {RefusalReason::UpstreamRefused, Ran::No, kComeBack});
+                             {RefusalReason::UpstreamRefused, Ran::No, kRetryAfter});
     }
-    progress.wasSent = true;
+    progress.hasUnknownOutcome = true;
     if (outcome.kind == Kind::TimedOut)
         return retryOrRefuse(call, progress, RetryReason::TimedOut,
                              {RefusalReason::UpstreamTimeout, Ran::Unknown, std::nullopt});
@@ -206,47 +208,47 @@
 {
     // An unrepeatable request may be sent again only when the upstream said that it did not run.
     const bool mayRepeat = !call.isUnrepeatable || refusal.ran == Ran::No;
-    if (!mayRepeat || progress.tries >= kMaxTries || timeNow() >= call.deadline)
+    if (!mayRepeat || progress.attempts >= kMaxAttempts || timeNow() >= call.deadline)
         return refuse(call, progress, refusal);
-    if (!tryRetry()) {
-        m_parts.metrics.count("retry_budget_denials_total");
+    if (!acquireRetry()) {
+        m_deps.metrics.count("retry_budget_denials_total");
         return refuse(call, progress, refusal);
     }
-    m_parts.metrics.countRetry(retry);
+    m_deps.metrics.countRetry(retry);
     return std::nullopt;
 }
 
-Reply Dispatcher::answer(const Call &call, Progress &progress, Reply reply)
+Reply Dispatcher::forwardResponse(const Call &call, Progress &progress, Reply reply)
 {
     if (progress.claim) {
         ClaimRecord record = progress.claim->record;
         record.state = ClaimState::Done;
         record.status = reply.status;
-        record.contentType = headerOf(reply.headers, "Content-Type");
+        record.contentType = headerValue(reply.headers, "Content-Type");
         record.body = reply.body;
         record.keepsBody = true;
-        m_parts.claims.settle(*progress.claim, std::move(record));
+        m_deps.claims.recordOutcome(*progress.claim, std::move(record));
     }
-    m_parts.metrics.countAnswer(reply.status, since(call.received));
+    m_deps.metrics.countAnswer(reply.status, elapsedSince(call.received));
     return reply;
 }
 
 Reply Dispatcher::refuse(const Call &call, Progress &progress, Refusal refusal)
 {
-    if (progress.wasSent && refusal.ran == Ran::No)
+    if (progress.hasUnknownOutcome && refusal.ran == Ran::No)
         refusal.ran = Ran::Unknown;
     if (progress.claim) {
         ClaimRecord record = progress.claim->record;
         record.state = refusal.ran == Ran::No ? ClaimState::Released : ClaimState::Unknown;
-        m_parts.claims.settle(*progress.claim, std::move(record));
+        m_deps.claims.recordOutcome(*progress.claim, std::move(record));
     }
     progress.steps.push_back("refused " + std::string(nameOf(refusal.reason)));
-    m_parts.metrics.countRefusal(refusal.reason);
-    m_parts.metrics.countAnswer(statusOf(refusal.reason), since(call.received));
+    m_deps.metrics.countRefusal(refusal.reason);
+    m_deps.metrics.countAnswer(statusOf(refusal.reason), elapsedSince(call.received));
     return problemReply(refusal);
 }
 
-bool Dispatcher::tryRetry()
+bool Dispatcher::acquireRetry()
 {
     const std::lock_guard lock(m_budgetMutex);
     return m_budget.tryRetry(timeNow());
--- a/src/http/dispatcher.h
+++ b/src/http/dispatcher.h
@@ -21,7 +21,7 @@
 class Metrics;
 
 /// Internal: the parts of the entry host that a Dispatcher works with.
-struct DispatcherParts
+struct DispatcherDependencies
 {
     RouteTable &routes;
     UpstreamClient &upstreams;
@@ -36,7 +36,7 @@
 class Dispatcher
 {
 public:
-    explicit Dispatcher(DispatcherParts parts);
+    explicit Dispatcher(DispatcherDependencies parts);
 
     boost::asio::awaitable<Reply> dispatch(Call call);
 
@@ -44,16 +44,16 @@
     struct Progress;
 
     boost::asio::awaitable<std::optional<Reply>> attempt(Call &call, Progress &progress);
-    boost::asio::awaitable<std::optional<Reply>> claimFor(Call &call, Progress &progress);
-    std::optional<Reply> judge(Call &call, Progress &progress, const Endpoint &endpoint,
-                               UpstreamOutcome outcome);
+    boost::asio::awaitable<std::optional<Reply>> acquireClaim(Call &call, Progress &progress);
+    std::optional<Reply> handleOutcome(Call &call, Progress &progress, const Endpoint &endpoint,
+                                       UpstreamOutcome outcome);
     std::optional<Reply> retryOrRefuse(const Call &call, Progress &progress, RetryReason retry,
                                        const Refusal &refusal);
-    Reply answer(const Call &call, Progress &progress, Reply reply);
+    Reply forwardResponse(const Call &call, Progress &progress, Reply reply);
     Reply refuse(const Call &call, Progress &progress, Refusal refusal);
-    bool tryRetry();
+    bool acquireRetry();
 
-    DispatcherParts m_parts;
+    DispatcherDependencies m_deps;
     std::mutex m_budgetMutex;
     RetryBudget m_budget;
 };
--- a/src/http/httpclient.cpp
+++ b/src/http/httpclient.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr Millis kConnectTime{400}; // one lost opening packet is sent again only after a second
-constexpr int kUnackedTime = 2000; // ms that sent bytes may stay unacknowledged
+constexpr Millis kConnectTimeout{400}; // one lost opening packet is sent again only after a second
+constexpr int kUnackedTimeoutMs = 2000; // ms that sent bytes may stay unacknowledged
 constexpr std::size_t kBufferBytes = 4096;
-constexpr std::uint64_t kMaxAnswerBytes = 16UL << 20;
+constexpr std::uint64_t kMaxResponseBytes = 16UL << 20;
 
 asio::ip::tcp::endpoint endpointOf(const std::string &address)
 {
@@ -59,7 +59,7 @@
     : m_io(io)
     , m_endpoint(endpointOf(address))
     , m_host(address)
-    , m_limit(connections)
+    , m_maxConnections(connections)
 {}
 
 HttpClient::~HttpClient() = default;
@@ -67,7 +67,7 @@
 void HttpClient::send(HttpCall call, Callback done)
 {
     m_queue.push_back({std::move(call), std::move(done), bootNow()});
-    asio::post(m_io, [self = shared_from_this()] { self->pump(); });
+    asio::post(m_io, [self = shared_from_this()] { self->dispatchQueued(); });
 }
 
 void HttpClient::close()
@@ -76,7 +76,7 @@
         connection->stream.close();
 }
 
-void HttpClient::pump()
+void HttpClient::dispatchQueued()
 {
     while (!m_queue.empty()) {
         std::shared_ptr<Connection> chosen;
@@ -85,7 +85,7 @@
                 chosen = connection;
         }
         if (!chosen) {
-            if (m_connections.size() >= m_limit)
+            if (m_connections.size() >= m_maxConnections)
                 return;
             chosen = std::make_shared<Connection>(m_io);
             m_connections.push_back(chosen);
@@ -94,7 +94,7 @@
         m_queue.pop_front();
         if (bootNow() >= pending.sent + pending.call.timeout) {
             // It waited for a connection for all of its time.
-            pending.done({.outcome = HttpAnswer::Outcome::NotSent, .sent = pending.sent});
+            pending.done({.outcome = HttpResult::Outcome::NotSent, .sent = pending.sent});
             continue;
         }
         chosen->isBusy = true;
@@ -108,21 +108,21 @@
 
 void HttpClient::connect(const std::shared_ptr<Connection> &connection)
 {
-    ++m_opened;
+    ++m_connectionsOpened;
     const Pending &pending = connection->pending;
-    connection->stream.expires_after(
-        std::min<Instant::duration>(pending.sent + pending.call.timeout - bootNow(), kConnectTime));
+    connection->stream.expires_after(std::min<Instant::duration>(
+        pending.sent + pending.call.timeout - bootNow(), kConnectTimeout));
     connection->stream.async_connect(
         m_endpoint, [self = shared_from_this(), connection](const beast::error_code &failed) {
             if (failed) {
-                self->finish(connection, {.outcome = HttpAnswer::Outcome::NotSent}, false);
+                self->finish(connection, {.outcome = HttpResult::Outcome::NotSent}, false);
                 return;
             }
             connection->isOpen = true;
             beast::error_code ignored;
             connection->stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
             using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-            connection->stream.socket().set_option(UserTimeout(kUnackedTime), ignored);
+            connection->stream.socket().set_option(UserTimeout(kUnackedTimeoutMs), ignored);
             self->write(connection);
         });
 }
@@ -142,21 +142,21 @@
     if (!call.body.empty() || call.method == "POST" || call.method == "PUT")
         request.prepare_payload();
     connection->parser = std::make_unique<http::response_parser<http::string_body>>();
-    connection->parser->body_limit(kMaxAnswerBytes);
+    connection->parser->body_limit(kMaxResponseBytes);
     connection->stream.expires_after(connection->pending.sent + call.timeout - bootNow());
     const auto failedCall = [this](const std::shared_ptr<Connection> &target) {
         Pending &pending = target->pending;
         // A kept connection that the server had closed: the call may go on a new one.
-        const bool isStale = target->wasUsed && pending.call.isRepeatable && !pending.isRepeat
+        const bool isStale = target->wasUsed && pending.call.isRetryable && !pending.isRetry
             && bootNow() < pending.sent + pending.call.timeout;
         if (!isStale) {
-            finish(target, {.outcome = HttpAnswer::Outcome::Unknown}, false);
+            finish(target, {.outcome = HttpResult::Outcome::Unknown}, false);
             return;
         }
-        pending.isRepeat = true;
+        pending.isRetry = true;
         m_queue.push_front(std::move(pending));
         retire(target);
-        pump();
+        dispatchQueued();
     };
     http::async_write(
         connection->stream, request,
@@ -176,7 +176,7 @@
                     auto response = connection->parser->release();
                     const bool keep = response.keep_alive();
                     self->finish(connection,
-                                 {.outcome = HttpAnswer::Outcome::Answered,
+                                 {.outcome = HttpResult::Outcome::Responded,
                                   .status = static_cast<int>(response.result_int()),
                                   .body = std::move(response.body())},
                                  keep);
@@ -184,7 +184,7 @@
         });
 }
 
-void HttpClient::finish(const std::shared_ptr<Connection> &connection, HttpAnswer answer, bool keep)
+void HttpClient::finish(const std::shared_ptr<Connection> &connection, HttpResult answer, bool keep)
 {
     Pending pending = std::move(connection->pending);
     answer.sent = pending.sent;
@@ -194,7 +194,7 @@
     if (!keep)
         retire(connection);
     pending.done(std::move(answer));
-    pump();
+    dispatchQueued();
 }
 
 void HttpClient::retire(const std::shared_ptr<Connection> &connection)
--- a/src/http/httpclient.h
+++ b/src/http/httpclient.h
@@ -27,14 +27,14 @@
     std::string body;
     Millis timeout{1000};
     /// The call may be sent again on a new connection when a kept one turns out to be closed.
-    bool isRepeatable = false;
+    bool isRetryable = false;
 };
 
 /// Internal: what came of an HttpCall.
-struct HttpAnswer
+struct HttpResult
 {
     enum class Outcome {
-        Answered,
+        Responded,
         NotSent, ///< No connection: the server has seen nothing.
         Unknown, ///< Sent at least in part, and not answered in time.
     };
@@ -50,7 +50,7 @@
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
-    using Callback = std::function<void(HttpAnswer)>;
+    using Callback = std::function<void(HttpResult)>;
 
     HttpClient(boost::asio::io_context &io, const std::string &address, std::size_t connections);
     ~HttpClient();
@@ -60,7 +60,7 @@
     /// Closes all connections; what is under way ends as Unknown or NotSent.
     void close();
     /// Returns how many connections were opened so far.
-    std::uint64_t opened() const { return m_opened; }
+    std::uint64_t connectionsOpened() const { return m_connectionsOpened; }
 
 private:
     struct Connection;
@@ -69,22 +69,22 @@
         HttpCall call;
         Callback done;
         Instant sent;
-        bool isRepeat = false;
+        bool isRetry = false;
     };
 
-    void pump();
+    void dispatchQueued();
     void connect(const std::shared_ptr<Connection> &connection);
     void write(const std::shared_ptr<Connection> &connection);
-    void finish(const std::shared_ptr<Connection> &connection, HttpAnswer answer, bool keep);
+    void finish(const std::shared_ptr<Connection> &connection, HttpResult answer, bool keep);
     void retire(const std::shared_ptr<Connection> &connection);
 
     boost::asio::io_context &m_io;
     boost::asio::ip::tcp::endpoint m_endpoint;
     std::string m_host;
-    std::size_t m_limit;
+    std::size_t m_maxConnections;
     std::deque<Pending> m_queue;
     std::vector<std::shared_ptr<Connection>> m_connections;
-    std::uint64_t m_opened = 0;
+    std::uint64_t m_connectionsOpened = 0;
 };
 
 } // namespace oleanderhall
--- a/src/http/routetable.cpp
+++ b/src/http/routetable.cpp
@@ -31,20 +31,21 @@
 {
     const Instant now = std::chrono::steady_clock::now();
     if (pools.empty())
-        removeUnknown(state.config());
+        removeObsoleteServices(state.config());
     for (const auto &[id, rule] : state.config().services) {
         if (!pools.empty() && !pools.contains(rule.pool))
             continue;
         const ServicePtr service = findOrAdd(rule);
         const std::lock_guard lock(service->mutex);
         service->router.setRule(rule);
-        deliver(*service,
-                service->router.setEndpoints(endpointsOf(state, rule, InstanceState::Ready), now,
-                                             endpointsOf(state, rule, InstanceState::Starting)));
+        deliverGrants(
+            *service,
+            service->router.setEndpoints(endpointsOf(state, rule, InstanceState::Ready), now,
+                                         endpointsOf(state, rule, InstanceState::Starting)));
     }
 }
 
-void RouteTable::setEntryHosts(int entryHosts)
+void RouteTable::setEntryHostCount(int entryHosts)
 {
     const std::unique_lock lock(m_mutex);
     m_settings.entryHosts = entryHosts;
@@ -110,7 +111,7 @@
         return;
     const std::lock_guard lock(found->mutex);
     const Instant now = std::chrono::steady_clock::now();
-    deliver(*found, found->router.finish(endpoint, result, took, now));
+    deliverGrants(*found, found->router.finish(endpoint, result, took, now));
 }
 
 bool RouteTable::isCurrent(const std::string &service, const Endpoint &endpoint) const
@@ -134,7 +135,7 @@
     return total;
 }
 
-int RouteTable::connectionShare() const
+int RouteTable::maxConnectionsPerUpstream() const
 {
     const std::shared_lock lock(m_mutex);
     std::optional<int> fewest;
@@ -173,7 +174,7 @@
     return service;
 }
 
-void RouteTable::removeUnknown(const Register &config)
+void RouteTable::removeObsoleteServices(const Register &config)
 {
     const std::unique_lock lock(m_mutex);
     std::erase_if(m_services, [&config](const auto &item) {
@@ -181,7 +182,7 @@
     });
 }
 
-void RouteTable::deliver(Service &service, const std::vector<SlotGrant> &grants)
+void RouteTable::deliverGrants(Service &service, const std::vector<SlotGrant> &grants)
 {
     std::vector<SlotGrant> pending = grants;
     while (!pending.empty()) {
--- a/src/http/routetable.h
+++ b/src/http/routetable.h
@@ -33,7 +33,7 @@
 
     /// Brings the services of `pools` in line with `state`; with no pools, all services.
     void refresh(const FleetState &state, const std::set<PoolId> &pools);
-    void setEntryHosts(int entryHosts);
+    void setEntryHostCount(int entryHosts);
 
     std::optional<ServiceRule> ruleOf(std::string_view service) const;
     /// Returns how long an answer of `service` takes on average.
@@ -46,7 +46,7 @@
     bool isCurrent(const std::string &service, const Endpoint &endpoint) const;
     /// Returns how many connections this entry host may have open to one upstream: an even share of
     /// what the strictest service's instances accept.
-    int connectionShare() const;
+    int maxConnectionsPerUpstream() const;
     /// Returns the number of upstreams, over all services.
     int upstreamCount() const;
     /// Returns the number of requests in flight and waiting, over all services.
@@ -67,8 +67,8 @@
 
     ServicePtr find(std::string_view service) const;
     ServicePtr findOrAdd(const ServiceRule &rule);
-    void removeUnknown(const Register &config);
-    static void deliver(Service &service, const std::vector<SlotGrant> &grants);
+    void removeObsoleteServices(const Register &config);
+    static void deliverGrants(Service &service, const std::vector<SlotGrant> &grants);
 
     RouterSettings m_settings;
     mutable std::shared_mutex m_mutex;
--- a/src/http/servicehandler.cpp
+++ b/src/http/servicehandler.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr int kUnavailable = 503;
-constexpr Millis kComeBack{1000};
+constexpr int kServiceUnavailable = 503;
+constexpr Millis kRetryAfter{1000};
 
 Reply healthReply(bool isHealthy)
 {
-    return {.status = isHealthy ? kOk : kUnavailable,
+    return {.status = isHealthy ? kOk : kServiceUnavailable,
             .headers = {{"Content-Type", "text/plain"}},
             .body = isHealthy ? "ok\n" : "not ready\n"};
 }
@@ -38,7 +38,7 @@
         , m_isDraining(isDraining)
     {}
 
-    asio::awaitable<Reply> answer(HttpRequest &request)
+    asio::awaitable<Reply> handle(HttpRequest &request)
     {
         if (request.target() == "/livez")
             co_return healthReply(true);
@@ -46,7 +46,7 @@
             co_return healthReply(m_isReady());
         if (!m_isReady() && !m_isDraining) {
             m_metrics.countRefusal(RefusalReason::NoView);
-            co_return problemReply({RefusalReason::NoView, Ran::No, kComeBack});
+            co_return problemReply({RefusalReason::NoView, Ran::No, kRetryAfter});
         }
         const auto lookup = [this](std::string_view service) { return m_routes.ruleOf(service); };
         auto parsed = parseCall(request, lookup, std::chrono::steady_clock::now());
@@ -73,7 +73,7 @@
 {
     auto handler = std::make_shared<ServiceHandler>(dispatcher, routes, metrics, std::move(isReady),
                                                     isDraining);
-    return [handler](HttpRequest &request) { return handler->answer(request); };
+    return [handler](HttpRequest &request) { return handler->handle(request); };
 }
 
 } // namespace oleanderhall
--- a/src/http/upstreamclient.cpp
+++ b/src/http/upstreamclient.cpp
@@ -80,7 +80,7 @@
     UpstreamOutcome outcome = co_await asio::co_spawn(
         connection->stream.get_executor(), exchange(*connection, call, endpoint, deadline),
         asio::use_awaitable);
-    giveBack(key, std::move(connection), outcome.kind == UpstreamOutcome::Kind::Answered);
+    releaseConnection(key, std::move(connection), outcome.kind == UpstreamOutcome::Kind::Responded);
     co_return outcome;
 }
 
@@ -131,7 +131,7 @@
     if (failed && written == 0)
         co_return failure(Kind::NotSent);
     http::response_parser<http::string_body> parser;
-    parser.body_limit(m_settings.maxAnswerBytes);
+    parser.body_limit(m_settings.maxResponseBytes);
     parser.skip(call.method == "HEAD");
     std::size_t received = 0;
     if (!failed) {
@@ -143,13 +143,13 @@
     if (failed && wasUsed && received == 0)
         co_return failure(Kind::Stale);
     if (failed || parser.need_eof() || connection.buffer.size() > 0)
-        co_return failure(Kind::Broken);
+        co_return failure(Kind::InvalidResponse);
     HttpResponse response = parser.release();
     // A connection that the upstream will close must not be used again.
     if (!response.keep_alive())
         connection.stream.close();
     UpstreamOutcome outcome;
-    outcome.kind = Kind::Answered;
+    outcome.kind = Kind::Responded;
     outcome.reply = replyFrom(response);
     co_return outcome;
 }
@@ -172,13 +172,14 @@
     return nullptr;
 }
 
-void UpstreamClient::giveBack(const PoolKey &key, ConnectionPtr connection, bool isReusable)
+void UpstreamClient::releaseConnection(const PoolKey &key, ConnectionPtr connection,
+                                       bool isReusable)
 {
     const std::lock_guard lock(m_mutex);
     Pool &pool = m_pools[key];
     --pool.inUse;
     const int open = pool.inUse + static_cast<int>(pool.idle.size());
-    if (!isReusable || !connection->stream.socket().is_open() || open >= m_connectionShare)
+    if (!isReusable || !connection->stream.socket().is_open() || open >= m_maxConnections)
         return;
     connection->idleSince = std::chrono::steady_clock::now();
     pool.idle.push_back(std::move(connection));
--- a/src/http/upstreamclient.h
+++ b/src/http/upstreamclient.h
@@ -23,7 +23,7 @@
 /// Internal: limits of an UpstreamClient.
 struct UpstreamClientSettings
 {
-    std::size_t maxAnswerBytes = 4UL << 20;
+    std::size_t maxResponseBytes = 4UL << 20;
     Millis connectTimeout{300};
     Millis idleTimeout{4000};
 };
@@ -44,7 +44,7 @@
                                                  Instant deadline, bool mayReuse);
 
     /// Sets how many connections this entry host may have open to one upstream.
-    void setConnectionShare(int connections) { m_connectionShare = connections; }
+    void setMaxConnections(int connections) { m_maxConnections = connections; }
     /// Closes idle connections that were not used for the idle timeout.
     void closeIdle(Instant now);
 
@@ -72,11 +72,11 @@
     boost::asio::awaitable<UpstreamOutcome> exchange(Connection &connection, const Call &call,
                                                      const Endpoint &endpoint, Instant deadline);
     ConnectionPtr takeIdle(const PoolKey &key);
-    void giveBack(const PoolKey &key, ConnectionPtr connection, bool isReusable);
+    void releaseConnection(const PoolKey &key, ConnectionPtr connection, bool isReusable);
 
     boost::asio::io_context &m_io;
     UpstreamClientSettings m_settings;
-    std::atomic<int> m_connectionShare{1};
+    std::atomic<int> m_maxConnections{1};
     std::mutex m_mutex;
     std::map<PoolKey, Pool> m_pools;
 };
--- a/src/http/upstreamoutcome.h
+++ b/src/http/upstreamoutcome.h
@@ -8,11 +8,11 @@
 struct UpstreamOutcome
 {
     enum class Kind {
-        Answered, ///< A whole answer came.
+        Responded, ///< A whole answer came.
         NotSent, ///< Not one byte of the request was handed to a connection.
         Stale, ///< A reused connection was closed before any byte of an answer.
         TimedOut, ///< No whole answer in time.
-        Broken, ///< The connection ended, or the answer was malformed or too large.
+        InvalidResponse, ///< The connection ended, or the answer was malformed or too large.
     };
 
     Kind kind = Kind::NotSent;
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -93,7 +93,7 @@
                  {"callers", m_settings.callerAddress.text()},
                  {"table", m_settings.tableAddress}});
         m_io.run();
-        logInfo("stopped", {{"cut_off", std::to_string(m_callerServer->busy())}});
+        logInfo("stopped", {{"cut_off", std::to_string(m_callerServer->requestsInFlight())}});
         return 0;
     }
 
@@ -149,7 +149,7 @@
             co_return Reply{.status = kNotFound};
         m_metrics.gauge("log_lines_dropped", static_cast<double>(droppedLogLines()));
         m_metrics.gauge("is_owner", m_ownership.isOwner() ? 1 : 0);
-        m_metrics.gauge("caller_connections", m_callerServer->connections());
+        m_metrics.gauge("caller_connections", m_callerServer->connectionCount());
         co_return Reply{.status = kOk,
                         .headers = {{"Content-Type", "text/plain; version=0.0.4"}},
                         .body = m_metrics.text()};
@@ -351,7 +351,7 @@
 
     void finishShutdown()
     {
-        if (m_callerServer->busy() == 0 || bootNow() >= m_shutdownDeadline) {
+        if (m_callerServer->requestsInFlight() == 0 || bootNow() >= m_shutdownDeadline) {
             m_io.stop();
             return;
         }
--- a/src/platform/dynamotable.cpp
+++ b/src/platform/dynamotable.cpp
@@ -92,7 +92,7 @@
     return item;
 }
 
-[[noreturn]] void throwRefusal(const HttpAnswer &answer)
+[[noreturn]] void throwRefusal(const HttpResult &answer)
 {
     const value json = value::parse(answer.body);
     std::vector<std::size_t> failed;
@@ -134,7 +134,7 @@
     for (std::size_t index = 0; index < writes.size(); ++index)
         items[index][std::string(actionName(writes[index].kind))] = actionOf(writes[index]);
     body["TransactItems"] = items;
-    const HttpAnswer answer = callPlatform(
+    const HttpResult answer = callPlatform(
         callOf(m_address, "TransactWriteItems", body, m_timeout));
     if (answer.status == kOk)
         return;
--- a/src/platform/httpcall.cpp
+++ b/src/platform/httpcall.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-HttpAnswer callThrough(const std::unique_ptr<http_client> &client, const HttpCall &call)
+HttpResult callThrough(const std::unique_ptr<http_client> &client, const HttpCall &call)
 {
     try {
         web::http::http_request request(call.method);
@@ -60,13 +60,13 @@
 
 } // namespace
 
-void requireOk(const HttpAnswer &answer, const std::string &url)
+void requireOk(const HttpResult &answer, const std::string &url)
 {
     if (answer.status != kOk)
         throw PlatformUnavailable(url + ": status " + std::to_string(answer.status));
 }
 
-HttpAnswer callPlatform(const HttpCall &call)
+HttpResult callPlatform(const HttpCall &call)
 {
     return callThrough(clientFor(call), call);
 }
@@ -78,7 +78,7 @@
     try {
         if (!client)
             client = clientFor(call);
-        HttpAnswer answer = callThrough(client, call);
+        HttpResult answer = callThrough(client, call);
         requireOk(answer, call.url);
         return std::move(answer.body);
     } catch (const OutcomeUnknown &error) {
--- a/src/platform/httpcall.h
+++ b/src/platform/httpcall.h
@@ -19,18 +19,18 @@
 };
 
 /// Internal: the answer to an HttpCall.
-struct HttpAnswer
+struct HttpResult
 {
     int status = 0;
     std::string body;
 };
 
 /// Internal: throws PlatformUnavailable unless `answer`, which came from `url`, has status 200.
-void requireOk(const HttpAnswer &answer, const std::string &url);
+void requireOk(const HttpResult &answer, const std::string &url);
 
 /// Internal: makes the call on a connection of its own. Throws PlatformUnavailable when nothing was
 /// sent, OutcomeUnknown when something may have been.
-HttpAnswer callPlatform(const HttpCall &call);
+HttpResult callPlatform(const HttpCall &call);
 
 /// Internal: makes a call without effect, for which an unknown outcome is a plain failure and which
 /// may be sent twice. Each thread keeps its connections for such calls; they are given up after any
--- a/src/platform/httpobjectstore.cpp
+++ b/src/platform/httpobjectstore.cpp
@@ -14,7 +14,7 @@
 void HttpObjectStore::put(const std::string &key, const std::string &data)
 {
     try {
-        const HttpAnswer answer = callPlatform({.method = "PUT",
+        const HttpResult answer = callPlatform({.method = "PUT",
                                                 .url = m_address + "/" + key,
                                                 .headers = {},
                                                 .body = data,
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -60,7 +60,7 @@
 void WorkerClient::send(const WorkerCommand &command, const std::string &body)
 {
     const bool isReboot = command.kind == WorkerCommand::Kind::Reboot;
-    const HttpAnswer answer = callPlatform(
+    const HttpResult answer = callPlatform(
         {.method = isReboot ? "POST" : "PUT",
          .url = urlOf(command.host) + (isReboot ? "/reboot" : "/tasks"),
          .headers = {},
--- a/tests/http/callerserver_test.cpp
+++ b/tests/http/callerserver_test.cpp
@@ -31,9 +31,9 @@
                                                      .bodyBytes = 4096,
                                                      .bufferedBytes = 8192,
                                                      .connections = 8,
-                                                     .headerTime = Millis(300),
-                                                     .bodyTime = Millis(300),
-                                                     .idleTime = Millis(2000)})
+                                                     .headerTimeout = Millis(300),
+                                                     .bodyTimeout = Millis(300),
+                                                     .idleTimeout = Millis(2000)})
         : server(std::make_shared<CallerServer>(
             io, limits,
             makeServiceHandler(
@@ -116,7 +116,7 @@
             FakeUpstream::send(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
             return false;
         }
-        FakeUpstream::send(socket, FakeUpstream::answer("fine"));
+        FakeUpstream::send(socket, FakeUpstream::okResponse("fine"));
         return true;
     }};
     asio::io_context client;
@@ -177,7 +177,7 @@
                                             + "\r\n0\r\n\r\nGET /alpha/y HTTP/1.1\r\n\r\n");
         CHECK(has(answer, "400", "bad_request"));
     }
-    CHECK(upstream.requests() == 0);
+    CHECK(upstream.requestCount() == 0);
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: a slow sender: refused, and others are served")
@@ -193,7 +193,7 @@
     const std::string answer = exchange(
         "POST /alpha/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nhalf");
     CHECK(has(answer, "408", "request_too_slow"));
-    CHECK(upstream.requests() == 0);
+    CHECK(upstream.requestCount() == 0);
 }
 
 TEST_CASE_METHOD(CallerServerTest,
@@ -226,7 +226,7 @@
               "bad_key"));
     CHECK(has(exchange(request("POST /alpha/orders", key + "a\r\nIdempotency-Key: b\r\n")), "400",
               "bad_key"));
-    CHECK(upstream.requests() == 0);
+    CHECK(upstream.requestCount() == 0);
 }
 
 TEST_CASE_METHOD(CallerServerTest,
@@ -237,7 +237,7 @@
         "Content-Length: 0\r\nIdempotency-Key: k\r\n\r\n");
     CHECK(has(answer, "503", "claims_unavailable"));
     CHECK(answer.find("Retry-After: 1\r\n") != std::string::npos);
-    CHECK(upstream.requests() == 0);
+    CHECK(upstream.requestCount() == 0);
 }
 
 TEST_CASE_METHOD(CallerServerTest,
@@ -267,5 +267,5 @@
           kMegabytes);
     CHECK(residentPages() - before < kMostGrowth);
     CHECK(exchange(kGood).starts_with("HTTP/1.1 200"));
-    CHECK(upstream.requests() == 2);
+    CHECK(upstream.requestCount() == 2);
 }
--- a/tests/http/upstreamclient_test.cpp
+++ b/tests/http/upstreamclient_test.cpp
@@ -18,7 +18,7 @@
 class UpstreamClientTest
 {
 protected:
-    UpstreamClientTest() { client.setConnectionShare(4); }
+    UpstreamClientTest() { client.setMaxConnections(4); }
     ~UpstreamClientTest()
     {
         io.stop();
@@ -65,7 +65,7 @@
         FakeUpstream::send(socket, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
         return false;
     });
-    CHECK(send(upstream, Millis(1000), true).kind == Kind::Broken);
+    CHECK(send(upstream, Millis(1000), true).kind == Kind::InvalidResponse);
 }
 
 TEST_CASE_METHOD(UpstreamClientTest, "UpstreamClient: an answer without an end: is broken")
@@ -74,7 +74,7 @@
         FakeUpstream::send(socket, "HTTP/1.1 200 OK\r\n\r\nmaybe whole");
         return false;
     });
-    CHECK(send(upstream, Millis(1000), true).kind == Kind::Broken);
+    CHECK(send(upstream, Millis(1000), true).kind == Kind::InvalidResponse);
 }
 
 TEST_CASE_METHOD(UpstreamClientTest,
@@ -83,34 +83,35 @@
     const FakeUpstream upstream([](auto &socket, const auto &, int number) {
         if (number == 1)
             std::this_thread::sleep_for(Millis(300));
-        FakeUpstream::send(socket, FakeUpstream::answer("answer " + std::to_string(number)));
+        FakeUpstream::send(socket, FakeUpstream::okResponse("answer " + std::to_string(number)));
         return true;
     });
     CHECK(send(upstream, Millis(100), true).kind == Kind::TimedOut);
     const UpstreamOutcome second = send(upstream, Millis(2000), true);
-    CHECK(second.kind == Kind::Answered);
+    CHECK(second.kind == Kind::Responded);
     CHECK(second.reply.body == "answer 2");
-    CHECK(upstream.connections() == 2);
+    CHECK(upstream.connectionCount() == 2);
 }
 
 TEST_CASE_METHOD(UpstreamClientTest, "UpstreamClient: bytes after an answer: it is not used")
 {
     const FakeUpstream upstream([](auto &socket, const auto &, int) {
-        FakeUpstream::send(socket, FakeUpstream::answer("one") + FakeUpstream::answer("two"));
+        FakeUpstream::send(socket,
+                           FakeUpstream::okResponse("one") + FakeUpstream::okResponse("two"));
         return false;
     });
-    CHECK(send(upstream, Millis(1000), true).kind == Kind::Broken);
+    CHECK(send(upstream, Millis(1000), true).kind == Kind::InvalidResponse);
 }
 
 TEST_CASE_METHOD(UpstreamClientTest, "UpstreamClient: a whole answer: the connection is used again")
 {
     const FakeUpstream upstream([](auto &socket, const auto &, int) {
-        FakeUpstream::send(socket, FakeUpstream::answer("ok"));
+        FakeUpstream::send(socket, FakeUpstream::okResponse("ok"));
         return true;
     });
-    CHECK(send(upstream, Millis(1000), true).kind == Kind::Answered);
-    CHECK(send(upstream, Millis(1000), true).kind == Kind::Answered);
-    CHECK(upstream.connections() == 1);
+    CHECK(send(upstream, Millis(1000), true).kind == Kind::Responded);
+    CHECK(send(upstream, Millis(1000), true).kind == Kind::Responded);
+    CHECK(upstream.connectionCount() == 1);
     client.closeIdle(std::chrono::steady_clock::now() + std::chrono::hours(1));
 }
 
@@ -119,12 +120,12 @@
 {
     const FakeUpstream upstream([](auto &socket, const auto &, int number) {
         if (number == 1)
-            FakeUpstream::send(socket, FakeUpstream::answer("ok"));
+            FakeUpstream::send(socket, FakeUpstream::okResponse("ok"));
         return number == 1;
     });
-    CHECK(send(upstream, Millis(1000), true).kind == Kind::Answered);
+    CHECK(send(upstream, Millis(1000), true).kind == Kind::Responded);
     CHECK(send(upstream, Millis(1000), true).kind == Kind::Stale);
-    CHECK(upstream.requests() == 2);
+    CHECK(upstream.requestCount() == 2);
 }
 
 TEST_CASE("cpprestsdk's client: the upstream closes after reading: the request is sent twice")
@@ -132,12 +133,12 @@
     // Why upstreams are not reached through it: the same script as above, one request more.
     const FakeUpstream upstream([](auto &socket, const auto &, int number) {
         if (number == 1)
-            FakeUpstream::send(socket, FakeUpstream::answer("ok"));
+            FakeUpstream::send(socket, FakeUpstream::okResponse("ok"));
         return number == 1;
     });
     web::http::client::http_client client(
         web::uri("http://127.0.0.1:" + std::to_string(upstream.port())));
     client.request(web::http::methods::POST, "/x", "hello").get().extract_string().get();
     CHECK_THROWS(client.request(web::http::methods::POST, "/x", "hello").get());
-    CHECK(upstream.requests() == 3);
+    CHECK(upstream.requestCount() == 3);
 }
--- a/tests/support/fakeupstream.h
+++ b/tests/support/fakeupstream.h
@@ -30,8 +30,8 @@
         boost::system::error_code ignored;
         {
             const std::lock_guard lock(m_mutex);
-            if (m_current)
-                m_current->shutdown(Socket::shutdown_both, ignored);
+            if (m_currentSocket)
+                m_currentSocket->shutdown(Socket::shutdown_both, ignored);
         }
         Socket wake(m_io);
         wake.connect(m_acceptor.local_endpoint(), ignored);
@@ -41,15 +41,15 @@
     FakeUpstream &operator=(const FakeUpstream &) = delete;
 
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
-    int requests() const { return m_requests; }
-    int connections() const { return m_connections; }
+    int requestCount() const { return m_requestCount; }
+    int connectionCount() const { return m_connectionCount; }
 
     static void send(Socket &socket, const std::string &text)
     {
         boost::system::error_code ignored;
         boost::asio::write(socket, boost::asio::buffer(text), ignored);
     }
-    static std::string answer(const std::string &body)
+    static std::string okResponse(const std::string &body)
     {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
             + body;
@@ -64,8 +64,8 @@
             m_acceptor.accept(socket, failed);
             if (failed || m_isStopping)
                 return;
-            ++m_connections;
-            setCurrent(&socket);
+            ++m_connectionCount;
+            setCurrentSocket(&socket);
             bool goesOn = true;
             while (goesOn) {
                 std::string text;
@@ -73,26 +73,26 @@
                                         failed);
                 if (failed)
                     break;
-                goesOn = m_script(socket, text, ++m_requests);
+                goesOn = m_script(socket, text, ++m_requestCount);
             }
-            setCurrent(nullptr);
+            setCurrentSocket(nullptr);
         }
     }
 
-    void setCurrent(Socket *socket)
+    void setCurrentSocket(Socket *socket)
     {
         const std::lock_guard lock(m_mutex);
-        m_current = socket;
+        m_currentSocket = socket;
     }
 
     Script m_script;
     std::mutex m_mutex;
-    Socket *m_current = nullptr;
+    Socket *m_currentSocket = nullptr;
     boost::asio::io_context m_io;
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::atomic<bool> m_isStopping{false};
-    std::atomic<int> m_requests{0};
-    std::atomic<int> m_connections{0};
+    std::atomic<int> m_requestCount{0};
+    std::atomic<int> m_connectionCount{0};
     std::thread m_thread;
 };
 
