--- a/src/http/call.h
+++ b/src/http/call.h
@@ -9,24 +9,25 @@
 
 namespace oleanderhall {
 
-/// Internal: header fields in the order in which they came.
+/// Internal: header fields in the order in which they were received.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// Internal: a caller's request after all checks.
+/// Internal: a caller's request that passed all checks.
 struct Call
 {
     ServiceRule rule;
     std::string method;
-    std::string target; ///< Path and query below the service's own path.
-    HeaderList headers; ///< End-to-end fields only.
+    std::string target; ///< Path and query, without the service's path prefix.
+    HeaderList headers; ///< End-to-end fields only; see isHopByHop().
     std::string body;
     Instant received;
-    Instant deadline;
+    Instant deadline; ///< Received plus the request's or the service's timeout.
+    /// The service's rule marks this method and path as not idempotent; needs an idempotency key.
     bool isUnrepeatable = false;
-    std::string idempotencyKey;
+    std::string idempotencyKey; ///< Empty if the request has none.
 };
 
-/// Internal: what goes back to the caller.
+/// Internal: the response that is returned to the caller.
 struct Reply
 {
     int status = 0;
--- a/src/http/callerserver.cpp
+++ b/src/http/callerserver.cpp
@@ -42,13 +42,14 @@
         , buffer(2 * headerBytes)
     {}
 
-    /// Cancels what waits on the stream at `latest`. Unlike the stream's own limit, this leaves the
-    /// connection open for a refusal. Runs on the session's strand, as all that follows.
-    void startReadTimer(Instant latest)
+    /// Cancels pending operations on the stream at `deadline`. Unlike the stream's own timeout,
+    /// this leaves the connection open, so that a refusal can be sent. Runs on the session's
+    /// strand, like everything that uses a session.
+    void startReadTimer(Instant deadline)
     {
         isTimedOut = false;
         stream.expires_never();
-        readTimer.expires_at(latest);
+        readTimer.expires_at(deadline);
         readTimer.async_wait([this, self = weakSelf.lock()](const beast::error_code &cancelled) {
             if (cancelled || !isReadTimerActive)
                 return;
@@ -132,8 +133,9 @@
         if (m_isStopping)
             co_return;
         if (failed) {
-            // Out of file descriptors, most likely: others must be closed first.
-            asio::steady_timer timer(m_acceptor.get_executor(), Millis(20));
+            // Most likely out of file descriptors. Retry later, when connections have been closed.
+            constexpr Millis kAcceptRetryDelay{20};
+            asio::steady_timer timer(m_acceptor.get_executor(), kAcceptRetryDelay);
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, failed));
             continue;
         }
@@ -181,7 +183,7 @@
     parser.body_limit(m_limits.bodyBytes);
     beast::error_code failed;
     if (session->buffer.size() == 0) {
-        // Waits for the first byte with nothing held but the buffer.
+        // Waits for the first byte. An idle connection occupies no more than its buffer.
         session->stream.expires_after(m_limits.idleTimeout);
         const std::size_t received = co_await session->stream.async_read_some(
             session->buffer.prepare(1024), asio::redirect_error(asio::use_awaitable, failed));
@@ -220,7 +222,7 @@
 {
     BodyParser &parser = *session->parser;
     const auto &header = parser.get();
-    // Two lengths leave open where the request ends, so that it might be read as two.
+    // With both fields the end of the request is ambiguous, which allows request smuggling.
     if (header.count(http::field::content_length) > 0
         && header.count(http::field::transfer_encoding) > 0)
         co_return Refusal{RefusalReason::BadRequest, Ran::No, std::nullopt};
@@ -275,13 +277,15 @@
     co_await write(session, problemReply(refusal), kHttpVersion, false, false);
     beast::error_code ignored;
     session->stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    // Reads on for a moment, so that the refusal is not lost in a reset.
-    constexpr int kDrainReads = 16;
-    session->stream.expires_after(kRetryAfter);
-    for (int count = 0; count < kDrainReads && !ignored; ++count) {
-        std::array<char, 4096> dropped;
+    // Continue to read for a moment: closing with unread data sends a reset, by which the caller
+    // may lose the refusal.
+    constexpr int kMaxLingerReads = 16;
+    constexpr Millis kLingerTime{1000};
+    session->stream.expires_after(kLingerTime);
+    for (int count = 0; count < kMaxLingerReads && !ignored; ++count) {
+        std::array<char, 4096> discarded;
         co_await session->stream.async_read_some(
-            asio::buffer(dropped), asio::redirect_error(asio::use_awaitable, ignored));
+            asio::buffer(discarded), asio::redirect_error(asio::use_awaitable, ignored));
     }
     co_return false;
 }
--- a/src/http/callerserver.h
+++ b/src/http/callerserver.h
@@ -25,37 +25,39 @@
 class Metrics;
 struct Reply;
 
-/// Internal: answers one whole request. It must not throw and must outlive the server.
+/// Internal: returns the response to one complete request. It must not throw, and what it refers to
+/// must outlive the server.
 using RequestHandler = std::function<boost::asio::awaitable<Reply>(HttpRequest &)>;
 
-/// Internal: what callers may cost this entry host.
+/// Internal: limits on the memory, connections and time that callers may use on this entry host.
 struct CallerLimits
 {
     std::size_t headerBytes = 8192;
-    std::size_t bodyBytes = 1UL << 20;
-    std::size_t bufferedBytes = 8UL << 20; ///< Bodies of all requests together.
+    std::size_t bodyBytes = 1UL << 20; ///< Body of one request.
+    std::size_t bufferedBytes = 8UL << 20; ///< Total over the bodies of all requests.
     int connections = 512;
-    Millis headerTimeout{5000};
-    Millis bodyTimeout{10000};
-    Millis idleTimeout{30000};
-    Millis responseTimeout{10000}; ///< For a caller to take in its answer.
+    Millis headerTimeout{5000}; ///< From the first byte to the end of the header.
+    Millis bodyTimeout{10000}; ///< From the end of the header to the end of the body.
+    Millis idleTimeout{30000}; ///< Until the first byte of the next request.
+    Millis responseTimeout{10000}; ///< For sending the response to the caller.
 };
 
-/// Internal: the callers' side of the entry host: an HTTP/1.1 server with a limit on everything
-/// that a caller can make it hold.
+/// Internal: the HTTP/1.1 server for callers of the entry host. Every resource that a caller can
+/// occupy has a limit. A request that is too large or too slow is refused with a problem document;
+/// a connection that is idle for too long or exceeds the limit is closed.
 class CallerServer : public std::enable_shared_from_this<CallerServer>
 {
 public:
     CallerServer(boost::asio::io_context &io, CallerLimits limits, RequestHandler handler,
                  Metrics &metrics);
 
-    /// Starts to listen. Throws when the address can't be had.
+    /// Starts to listen. Throws boost::system::system_error if it can't bind to the address.
     void start(const std::string &address, std::uint16_t port);
-    /// Closes each connection after its next answer; everything is still answered.
+    /// Closes each connection after its next response. Continues to accept and answer requests.
     void drain();
-    /// Stops to accept; idle connections are closed, requests in flight are answered.
+    /// Stops accepting connections and closes idle ones. Requests in flight are still answered.
     void stop();
-    /// Returns how many requests are being worked on.
+    /// Returns the number of requests from their first byte until the response is written.
     int requestsInFlight() const { return m_requestsInFlight; }
     int connectionCount() const { return m_connectionCount; }
 
@@ -64,8 +66,11 @@
     using SessionPtr = std::shared_ptr<Session>;
 
     boost::asio::awaitable<void> acceptLoop();
+    /// Serves the requests of one connection and closes it.
     boost::asio::awaitable<void> runSession(SessionPtr session);
+    /// Returns whether the connection stays open for another request.
     boost::asio::awaitable<bool> serveRequest(SessionPtr session);
+    /// Returns nothing if the body was read.
     boost::asio::awaitable<std::optional<Refusal>> readBody(SessionPtr session, Instant headerEnd);
     boost::asio::awaitable<bool> write(SessionPtr session, const Reply &reply, unsigned version,
                                        bool keepAlive, bool isHead);
--- a/src/http/callparser.cpp
+++ b/src/http/callparser.cpp
@@ -37,7 +37,8 @@
     return {text.data(), text.size()};
 }
 
-/// Splits "/service/rest" into the service's name and "/rest".
+/// Splits "/service/rest" into the service's name and "/rest". Both are empty unless `target`
+/// starts with a slash.
 std::pair<std::string_view, std::string_view> splitTarget(std::string_view target)
 {
     if (target.empty() || target.front() != '/')
@@ -53,8 +54,8 @@
     std::int64_t milliseconds = 0;
     const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(),
                                                milliseconds);
-    const bool isWhole = failed == std::errc() && end == text.data() + text.size();
-    if (!isWhole || milliseconds < 1 || milliseconds > kMaxTimeoutMs)
+    const bool isNumber = failed == std::errc() && end == text.data() + text.size();
+    if (!isNumber || milliseconds < 1 || milliseconds > kMaxTimeoutMs)
         return std::nullopt;
     return Millis(milliseconds);
 }
@@ -80,9 +81,9 @@
         return call.isUnrepeatable ? std::optional(refuse(RefusalReason::MissingKey))
                                    : std::nullopt;
     call.idempotencyKey = std::string(view(request.at(kIdempotencyKeyHeader)));
-    const bool isUsable = keys == 1 && !call.idempotencyKey.empty()
+    const bool isValid = keys == 1 && !call.idempotencyKey.empty()
         && call.idempotencyKey.size() <= kMaxKeyLength && isPrintableAscii(call.idempotencyKey);
-    if (!isUsable)
+    if (!isValid)
         return refuse(RefusalReason::BadKey);
     return std::nullopt;
 }
--- a/src/http/claimservice.cpp
+++ b/src/http/claimservice.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr std::size_t kMaxBatchSize = 25; // claims in one transaction
-constexpr std::size_t kMaxOutcomeWrites = 20000; // endings kept while the table is away
-constexpr int kClaimThreads = 3;
+constexpr std::size_t kMaxBatchSize = 25; // claims per transaction
+constexpr std::size_t kMaxOutcomeWrites = 20000; // queued while the table is unavailable
+constexpr int kClaimThreads = 3; // transactions in flight
 constexpr int kOutcomeWriteAttempts = 60;
 constexpr int kReleaseAttempts = 5;
 constexpr Millis kOutcomeRetryDelay{1000};
-constexpr Millis kMaxClaimWait{1000}; // a request waits no longer for the table
+constexpr Millis kMaxClaimWait{1000}; // how long a request waits for the table
 constexpr Millis kProbeInterval{500};
-constexpr std::size_t kMaxStoredBodyBytes = 4096; // bytes of an answer kept for repetitions
+constexpr std::size_t kMaxStoredBodyBytes = 4096; // larger responses are not replayed
 
 std::string hashOf(const std::string &text)
 {
@@ -36,7 +36,8 @@
 
 Refusal claimsUnavailable()
 {
-    return {RefusalReason::ClaimsUnavailable, Ran::No, Millis(1000)};
+    constexpr Millis kRetryAfter{1000};
+    return {RefusalReason::ClaimsUnavailable, Ran::No, kRetryAfter};
 }
 
 } // namespace
@@ -65,7 +66,7 @@
 }
 
 boost::asio::awaitable<ClaimOutcome> ClaimService::claim(std::string service, std::string key,
-                                                         std::string body, Instant deadline)
+                                                         std::string content, Instant deadline)
 {
     const Refusal unavailable = claimsUnavailable();
     const Instant now = std::chrono::steady_clock::now();
@@ -75,7 +76,7 @@
         const std::lock_guard lock(m_mutex);
         if (!m_circuitBreaker.mayTry(now))
             co_return unavailable;
-        ClaimRequest request{{"claim-" + service, std::move(key)}, hashOf(body), newToken()};
+        ClaimRequest request{{"claim-" + service, std::move(key)}, hashOf(content), newToken()};
         m_pendingClaims.push_back({std::move(request), result});
     }
     m_claimsChanged.notify_one();
@@ -138,11 +139,12 @@
     updateCircuitBreaker(outcomes);
     for (std::size_t index = 0; index < batch.size(); ++index) {
         const auto *refusal = std::get_if<Refusal>(&outcomes[index]);
-        const bool mayStillLand = refusal && refusal->reason == RefusalReason::ClaimsUnavailable;
-        const bool isTaken = batch[index].result->set(outcomes[index]);
-        const bool isUnusedHandle = !isTaken
+        const bool mayStillTakeEffect = refusal
+            && refusal->reason == RefusalReason::ClaimsUnavailable;
+        const bool isDelivered = batch[index].result->set(outcomes[index]);
+        const bool isUnusedHandle = !isDelivered
             && std::holds_alternative<ClaimHandle>(outcomes[index]);
-        if (!mayStillLand && !isUnusedHandle)
+        if (!mayStillTakeEffect && !isUnusedHandle)
             continue;
         ClaimHandle handle{
             batch[index].request.key,
@@ -154,12 +156,13 @@
 
 void ClaimService::updateCircuitBreaker(const std::vector<ClaimOutcome> &outcomes)
 {
-    const bool isAway = std::all_of(outcomes.begin(), outcomes.end(), [](const auto &outcome) {
-        const auto *refusal = std::get_if<Refusal>(&outcome);
-        return refusal && refusal->reason == RefusalReason::ClaimsUnavailable;
-    });
+    const bool isUnavailable = std::all_of(
+        outcomes.begin(), outcomes.end(), [](const auto &outcome) {
+            const auto *refusal = std::get_if<Refusal>(&outcome);
+            return refusal && refusal->reason == RefusalReason::ClaimsUnavailable;
+        });
     const std::lock_guard lock(m_mutex);
-    if (isAway)
+    if (isUnavailable)
         m_circuitBreaker.failed(std::chrono::steady_clock::now());
     else
         m_circuitBreaker.succeeded();
@@ -173,45 +176,46 @@
                                     [this] { return m_isStopping || !m_outcomeWrites.empty(); });
         if (m_outcomeWrites.empty())
             return;
-        OutcomeWrite ending = std::move(m_outcomeWrites.front());
+        OutcomeWrite write = std::move(m_outcomeWrites.front());
         m_outcomeWrites.pop_front();
         const Instant now = std::chrono::steady_clock::now();
-        if (ending.notBefore > now) {
-            m_outcomeWrites.push_back(std::move(ending));
-            m_outcomeWritesChanged.wait_for(lock, Millis(50));
+        if (write.notBefore > now) {
+            m_outcomeWrites.push_back(std::move(write));
+            constexpr Millis kPollInterval{50}; // while only delayed writes are queued
+            m_outcomeWritesChanged.wait_for(lock, kPollInterval);
             if (m_isStopping)
                 return;
             continue;
         }
         lock.unlock();
-        const bool isDone = writeOutcome(ending);
+        const bool isDone = writeOutcome(write);
         lock.lock();
-        if (isDone || --ending.attemptsLeft <= 0)
+        if (isDone || --write.attemptsLeft <= 0)
             continue;
-        ending.notBefore = std::chrono::steady_clock::now() + kOutcomeRetryDelay;
-        m_outcomeWrites.push_back(std::move(ending));
+        write.notBefore = std::chrono::steady_clock::now() + kOutcomeRetryDelay;
+        m_outcomeWrites.push_back(std::move(write));
     }
 }
 
-bool ClaimService::writeOutcome(const OutcomeWrite &ending)
+bool ClaimService::writeOutcome(const OutcomeWrite &write)
 {
     try {
-        if (!ending.isRelease)
-            return m_claimStore.settle(ending.handle, ending.record);
+        if (!write.isRelease)
+            return m_claimStore.settle(write.handle, write.record);
         return m_claimStore.releaseIfHeld(
-            {ending.handle.key, ending.record.bodyHash, ending.record.token});
+            {write.handle.key, write.record.bodyHash, write.record.token});
     } catch (const std::exception &) {
         return false;
     }
 }
 
-void ClaimService::enqueueWrite(OutcomeWrite ending)
+void ClaimService::enqueueWrite(OutcomeWrite write)
 {
     {
         const std::lock_guard lock(m_mutex);
         if (m_outcomeWrites.size() >= kMaxOutcomeWrites)
-            return; // The claim stays open: repetitions are told that the outcome is unknown.
-        m_outcomeWrites.push_back(std::move(ending));
+            return; // The claim stays open: repetitions are refused with an unknown outcome.
+        m_outcomeWrites.push_back(std::move(write));
     }
     m_outcomeWritesChanged.notify_one();
 }
--- a/src/http/claimservice.h
+++ b/src/http/claimservice.h
@@ -18,9 +18,9 @@
 
 namespace oleanderhall {
 
-/// Internal: lets coroutines claim unrepeatable requests. Claims that arrive together go to the
-/// table as one transaction; how requests ended is written afterwards, and tried again while the
-/// table is away.
+/// Internal: asynchronous access to the claims of unrepeatable requests. Claims that are pending at
+/// the same time are written to the table in one transaction. The outcomes of requests are written
+/// in the background, with a limited number of attempts if the table is unavailable. Thread-safe.
 class ClaimService
 {
 public:
@@ -29,10 +29,14 @@
     ClaimService(const ClaimService &) = delete;
     ClaimService &operator=(const ClaimService &) = delete;
 
-    /// Claims the right to send a request, at most until `deadline`.
+    /// Claims the right to send a request with the idempotency key `key`. A repetition
+    /// with the same key must have the same `content` (method, target and body). Completes with the
+    /// claim, the stored response or a refusal; with ClaimsUnavailable if the table doesn't answer
+    /// in time or by `deadline`, and at once while the circuit breaker is open.
     boost::asio::awaitable<ClaimOutcome> claim(std::string service, std::string key,
-                                               std::string body, Instant deadline);
-    /// Records how the request ended. Returns at once.
+                                               std::string content, Instant deadline);
+    /// Queues the outcome of a request for writing to its claim. Doesn't block. If the table stays
+    /// unavailable or the queue is full, the outcome is dropped and the claim stays open.
     void recordOutcome(const ClaimHandle &handle, ClaimRecord record);
 
 private:
@@ -45,17 +49,21 @@
     {
         ClaimHandle handle;
         ClaimRecord record;
-        bool isRelease = false; ///< Release whatever row holds the handle's token.
+        bool isRelease = false; ///< Release the claim if its row holds the handle's token.
         int attemptsLeft = 0;
         Instant notBefore;
     };
 
     void claimLoop();
     void outcomeWriteLoop();
+    /// Returns the claims of the next transaction, at most one for each key. Blocks until there are
+    /// some; returns none when the service stops.
     std::vector<PendingClaim> takeBatch();
     void claimBatch(const std::vector<PendingClaim> &batch);
-    bool writeOutcome(const OutcomeWrite &ending);
-    void enqueueWrite(OutcomeWrite ending);
+    /// Returns false if the write has to be attempted again.
+    bool writeOutcome(const OutcomeWrite &write);
+    void enqueueWrite(OutcomeWrite write);
+    /// Counts a failure only if the whole batch got no answer of the table.
     void updateCircuitBreaker(const std::vector<ClaimOutcome> &outcomes);
     std::string newToken();
 
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr int kMaxAttempts = 4; // upstreams for one request
-constexpr int kMinLatencyMultiple = 3; // times the expected latency
-constexpr Millis kMinAttemptTime{50}; // of a request that may be tried again
+constexpr int kMaxAttempts = 4; // per request
+constexpr int kMinLatencyMultiple = 3; // least attempt time, in expected latencies
+constexpr Millis kMinAttemptTime{50}; // if another attempt may follow
 constexpr Millis kRetryAfter{1000};
 
 Instant timeNow()
@@ -38,12 +38,14 @@
         != rule.notRunStatuses.end();
 }
 
-/// A request that may be tried again leaves half of its time for the next try, if half is plenty
-/// for this one. Cutting a try short that would have been answered wastes the slot that it holds.
-Instant attemptDeadline(const Call &call, int tries, Millis expected)
+/// Returns the deadline of the next attempt. A request that may be retried reserves half of its
+/// remaining time for the retry, provided that the other half is several times the expected
+/// latency. Cutting off an attempt that would have been answered wastes the upstream slot that it
+/// occupies.
+Instant attemptDeadline(const Call &call, int attempts, Millis expected)
 {
     const Instant now = timeNow();
-    if (call.isUnrepeatable || tries + 1 >= kMaxAttempts)
+    if (call.isUnrepeatable || attempts + 1 >= kMaxAttempts)
         return call.deadline;
     const auto half = std::chrono::duration_cast<Millis>((call.deadline - now) / 2);
     if (half < kMinLatencyMultiple * expected)
@@ -72,7 +74,7 @@
 struct Dispatcher::Progress
 {
     int attempts = 0;
-    bool hasUnknownOutcome = false; ///< An earlier try was sent and its outcome is unknown.
+    bool hasUnknownOutcome = false; ///< An attempt was sent and its outcome is unknown.
     std::vector<HostId> triedHosts;
     std::optional<ClaimHandle> claim;
     std::vector<std::string> steps;
@@ -107,17 +109,18 @@
 asio::awaitable<std::optional<Reply>> Dispatcher::attempt(Call &call, Progress &progress)
 {
     const std::string service = call.rule.id.name();
-    // Built here, as g++ 12 destroys an aggregate twice that is built inside a co_await expression.
+    // A named variable, because g++ 12 destroys an aggregate twice that is created inside a
+    // co_await expression.
     SlotRequest request;
     request.deadline = call.deadline;
     request.viewIsFresh = m_deps.view.isFresh(timeNow());
     request.avoid = progress.triedHosts;
     const SlotResult slot = co_await m_deps.routes.acquire(service, std::move(request));
     if (const auto *refusal = std::get_if<Refusal>(&slot)) {
-        const bool hasTriedAll = refusal->reason == RefusalReason::NoUpstream
+        const bool hasAttemptedAll = refusal->reason == RefusalReason::NoUpstream
             && progress.attempts > 0;
         co_return refuse(call, progress,
-                         hasTriedAll
+                         hasAttemptedAll
                              ? Refusal{RefusalReason::UpstreamUnreachable, Ran::No, kRetryAfter}
                              : *refusal);
     }
@@ -129,7 +132,8 @@
             co_return refused;
         }
     }
-    // The view may have changed, or this process may have been paused, since the slot was granted.
+    // The view may have changed since the slot was granted, for example while this process was
+    // paused.
     if (!m_deps.routes.isCurrent(service, endpoint)) {
         m_deps.routes.release(service, endpoint, AttemptResult::NotTried, Millis(0));
         co_return std::nullopt;
@@ -206,9 +210,9 @@
 std::optional<Reply> Dispatcher::retryOrRefuse(const Call &call, Progress &progress,
                                                RetryReason retry, const Refusal &refusal)
 {
-    // An unrepeatable request may be sent again only when the upstream said that it did not run.
-    const bool mayRepeat = !call.isUnrepeatable || refusal.ran == Ran::No;
-    if (!mayRepeat || progress.attempts >= kMaxAttempts || timeNow() >= call.deadline)
+    // An unrepeatable request may be sent again only if it is certain that it was not executed.
+    const bool mayRetry = !call.isUnrepeatable || refusal.ran == Ran::No;
+    if (!mayRetry || progress.attempts >= kMaxAttempts || timeNow() >= call.deadline)
         return refuse(call, progress, refusal);
     if (!acquireRetry()) {
         m_deps.metrics.count("retry_budget_denials_total");
--- a/src/http/dispatcher.h
+++ b/src/http/dispatcher.h
@@ -20,7 +20,7 @@
 
 class Metrics;
 
-/// Internal: the parts of the entry host that a Dispatcher works with.
+/// Internal: what a Dispatcher uses. The references must outlive it.
 struct DispatcherDependencies
 {
     RouteTable &routes;
@@ -29,21 +29,27 @@
     const ViewLease &view;
     Metrics &metrics;
     RequestTraces &traces;
-    int retryPercent = 10; ///< Highest share of retries in first tries, in percent.
+    int retryPercent = 10; ///< Retry budget, in percent of the first attempts.
 };
 
-/// Internal: takes a checked call to its one final reply: claim, slot, attempt, retry, refusal.
+/// Internal: routes a call to an upstream and returns its one final reply. Acquires a slot and, for
+/// an unrepeatable call, a claim; sends the call; retries within the deadline and the retry budget;
+/// refuses otherwise.
 class Dispatcher
 {
 public:
     explicit Dispatcher(DispatcherDependencies parts);
 
+    /// Completes with the upstream's response, a replayed response or a refusal. Records the
+    /// outcome in the claim, the metrics and the request's trace.
     boost::asio::awaitable<Reply> dispatch(Call call);
 
 private:
     struct Progress;
 
+    // Functions that return an optional reply return nothing if another attempt is to follow.
     boost::asio::awaitable<std::optional<Reply>> attempt(Call &call, Progress &progress);
+    /// Returns nothing if the claim was acquired.
     boost::asio::awaitable<std::optional<Reply>> acquireClaim(Call &call, Progress &progress);
     std::optional<Reply> handleOutcome(Call &call, Progress &progress, const Endpoint &endpoint,
                                        UpstreamOutcome outcome);
--- a/src/http/httpclient.cpp
+++ b/src/http/httpclient.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr Millis kConnectTimeout{400}; // one lost opening packet is sent again only after a second
-constexpr int kUnackedTimeoutMs = 2000; // ms that sent bytes may stay unacknowledged
+constexpr Millis kConnectTimeout{400}; // TCP retransmits a lost SYN only after 1 s
+constexpr int kUnackedTimeoutMs = 2000; // for sent bytes without acknowledgement
 constexpr std::size_t kBufferBytes = 4096;
 constexpr std::uint64_t kMaxResponseBytes = 16UL << 20;
 
@@ -25,7 +25,7 @@
 {
     const auto colon = address.rfind(':');
     if (colon == std::string::npos)
-        throw std::invalid_argument("an address without a port: " + address);
+        throw std::invalid_argument("address has no port: " + address);
     return {asio::ip::make_address(address.substr(0, colon)),
             static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1)))};
 }
@@ -93,7 +93,7 @@
         Pending pending = std::move(m_queue.front());
         m_queue.pop_front();
         if (bootNow() >= pending.sent + pending.call.timeout) {
-            // It waited for a connection for all of its time.
+            // Timed out while it was queued for a connection.
             pending.done({.outcome = HttpResult::Outcome::NotSent, .sent = pending.sent});
             continue;
         }
@@ -144,9 +144,10 @@
     connection->parser = std::make_unique<http::response_parser<http::string_body>>();
     connection->parser->body_limit(kMaxResponseBytes);
     connection->stream.expires_after(connection->pending.sent + call.timeout - bootNow());
-    const auto failedCall = [this](const std::shared_ptr<Connection> &target) {
+    const auto onFailure = [this](const std::shared_ptr<Connection> &target) {
         Pending &pending = target->pending;
-        // A kept connection that the server had closed: the call may go on a new one.
+        // The server may have closed the reused connection in the meantime; a retryable call is
+        // sent once more, on a new one.
         const bool isStale = target->wasUsed && pending.call.isRetryable && !pending.isRetry
             && bootNow() < pending.sent + pending.call.timeout;
         if (!isStale) {
@@ -160,17 +161,17 @@
     };
     http::async_write(
         connection->stream, request,
-        [self = shared_from_this(), connection, failedCall](const beast::error_code &failed,
-                                                            std::size_t) {
+        [self = shared_from_this(), connection, onFailure](const beast::error_code &failed,
+                                                           std::size_t) {
             if (failed) {
-                failedCall(connection);
+                onFailure(connection);
                 return;
             }
             http::async_read(
                 connection->stream, connection->buffer, *connection->parser,
-                [self, connection, failedCall](const beast::error_code &broken, std::size_t) {
-                    if (broken) {
-                        failedCall(connection);
+                [self, connection, onFailure](const beast::error_code &readError, std::size_t) {
+                    if (readError) {
+                        onFailure(connection);
                         return;
                     }
                     auto response = connection->parser->release();
@@ -184,16 +185,16 @@
         });
 }
 
-void HttpClient::finish(const std::shared_ptr<Connection> &connection, HttpResult answer, bool keep)
+void HttpClient::finish(const std::shared_ptr<Connection> &connection, HttpResult result, bool keep)
 {
     Pending pending = std::move(connection->pending);
-    answer.sent = pending.sent;
+    result.sent = pending.sent;
     connection->isBusy = false;
     connection->wasUsed = true;
     connection->stream.expires_never();
     if (!keep)
         retire(connection);
-    pending.done(std::move(answer));
+    pending.done(std::move(result));
     dispatchQueued();
 }
 
--- a/src/http/httpclient.h
+++ b/src/http/httpclient.h
@@ -18,48 +18,50 @@
 
 namespace oleanderhall {
 
-/// Internal: one request to a server.
+/// Internal: a request of an HttpClient.
 struct HttpCall
 {
     std::string method;
     std::string target;
     HeaderList headers;
     std::string body;
-    Millis timeout{1000};
-    /// The call may be sent again on a new connection when a kept one turns out to be closed.
+    Millis timeout{1000}; ///< From send() to the end of the response.
+    /// If a reused connection fails, the call may be sent a second time on a new one.
     bool isRetryable = false;
 };
 
-/// Internal: what came of an HttpCall.
+/// Internal: the outcome of an HttpCall and, if there was one, the response.
 struct HttpResult
 {
     enum class Outcome {
         Responded,
-        NotSent, ///< No connection: the server has seen nothing.
-        Unknown, ///< Sent at least in part, and not answered in time.
+        NotSent, ///< No connection was established; the server has received nothing.
+        Unknown, ///< May have been sent; the connection failed or timed out before the response.
     };
     Outcome outcome = Outcome::Unknown;
     int status = 0;
     std::string body;
-    Instant sent; ///< When the call was handed over.
+    Instant sent; ///< When send() was called.
 };
 
-/// Internal: an HTTP/1.1 client for one server. It keeps connections open, sends one request at a
-/// time on each and queues what exceeds them. A connection that timed out is not used again. It
-/// belongs to one thread's io_context.
+/// Internal: an HTTP/1.1 client for one server, with a pool of persistent connections. Each
+/// connection has one request at a time; further requests are queued. A connection that timed out
+/// is not reused. Not thread-safe: use it on the thread that runs its io_context.
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
     using Callback = std::function<void(HttpResult)>;
 
+    /// `address` is IP:PORT; throws std::invalid_argument if it has no port. Opens at most
+    /// `connections` connections at a time.
     HttpClient(boost::asio::io_context &io, const std::string &address, std::size_t connections);
     ~HttpClient();
 
-    /// Calls `done` exactly once, never before send() returns.
+    /// Sends `call` and calls `done` exactly once, never before send() returns.
     void send(HttpCall call, Callback done);
-    /// Closes all connections; what is under way ends as Unknown or NotSent.
+    /// Closes all connections. Calls in flight end as Unknown or NotSent.
     void close();
-    /// Returns how many connections were opened so far.
+    /// Returns the number of connections opened so far, including failed attempts.
     std::uint64_t connectionsOpened() const { return m_connectionsOpened; }
 
 private:
@@ -75,7 +77,7 @@
     void dispatchQueued();
     void connect(const std::shared_ptr<Connection> &connection);
     void write(const std::shared_ptr<Connection> &connection);
-    void finish(const std::shared_ptr<Connection> &connection, HttpResult answer, bool keep);
+    void finish(const std::shared_ptr<Connection> &connection, HttpResult result, bool keep);
     void retire(const std::shared_ptr<Connection> &connection);
 
     boost::asio::io_context &m_io;
--- a/src/http/httptypes.h
+++ b/src/http/httptypes.h
@@ -5,7 +5,7 @@
 
 namespace oleanderhall {
 
-/// Internal: HTTP messages with their bodies in memory.
+/// Internal: HTTP messages whose bodies are held in memory.
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
--- a/src/http/oneshot.h
+++ b/src/http/oneshot.h
@@ -16,7 +16,7 @@
 
 namespace oleanderhall {
 
-/// Internal: hands one value from any thread to a coroutine that waits for it up to a time.
+/// Internal: passes one value from any thread to one coroutine that waits for it with a deadline.
 template <typename T>
 class OneShot : public std::enable_shared_from_this<OneShot<T>>
 {
@@ -25,28 +25,29 @@
         : m_timer(executor)
     {}
 
-    /// Gives the value. Returns false when the waiter has given up; the value is then not taken.
+    /// Delivers the value. Returns false if the waiter has timed out; the value is then discarded.
     bool set(T value)
     {
         const std::lock_guard lock(m_mutex);
         if (m_isClosed)
             return false;
         m_value.emplace(std::move(value));
-        // Runs on the waiter's strand, thus after the waiter has begun to wait.
+        // Posted to the waiter's strand, so that it runs after the waiter has started to wait.
         boost::asio::post(m_timer.get_executor(),
                           [self = this->shared_from_this()] { self->m_timer.cancel(); });
         return true;
     }
 
-    /// Waits until `latest`. Returns nothing when no value came; set() fails from then on.
-    boost::asio::awaitable<std::optional<T>> wait(Instant latest)
+    /// Completes with the value, or with nothing if it isn't set by `deadline`; set() fails from
+    /// then on.
+    boost::asio::awaitable<std::optional<T>> wait(Instant deadline)
     {
         {
             const std::lock_guard lock(m_mutex);
             if (m_value)
                 co_return std::move(m_value);
         }
-        m_timer.expires_at(latest);
+        m_timer.expires_at(deadline);
         boost::system::error_code ignored;
         co_await m_timer.async_wait(
             boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
--- a/src/http/problem.h
+++ b/src/http/problem.h
@@ -6,8 +6,8 @@
 
 namespace oleanderhall {
 
-/// Internal: writes a refusal as application/problem+json with its reason, whether the request ran,
-/// and Retry-After where it is set.
+/// Internal: returns a refusal as an application/problem+json reply with its reason and execution
+/// status. Sets Retry-After, in seconds rounded up, if the refusal has it.
 Reply problemReply(const Refusal &refusal);
 
 } // namespace oleanderhall
--- a/src/http/requesttraces.h
+++ b/src/http/requesttraces.h
@@ -8,19 +8,22 @@
 
 namespace oleanderhall {
 
-/// Internal: what was decided for one request, in words.
+/// Internal: the routing decisions on one request, as text.
 struct RequestTrace
 {
     std::string requestId;
     std::string service;
-    std::vector<std::string> steps; ///< Each upstream tried and what came of it, then the end.
+    std::vector<std::string> steps; ///< Each attempt's upstream and outcome, then the final status.
 };
 
-/// Internal: the decisions on the most recent requests that carried an X-Request-Id.
+/// Internal: traces of the most recent requests with an X-Request-Id. Thread-safe.
 class RequestTraces
 {
 public:
+    /// Discards a trace whose request ID is empty or too long, and the oldest one if there are too
+    /// many.
     void add(RequestTrace trace);
+    /// Returns the latest trace with this ID.
     std::optional<RequestTrace> find(const std::string &requestId) const;
 
 private:
--- a/src/http/routetable.cpp
+++ b/src/http/routetable.cpp
@@ -11,14 +11,15 @@
 namespace {
 
 std::vector<Endpoint> endpointsOf(const FleetState &state, const ServiceRule &rule,
-                                  InstanceState wanted)
+                                  InstanceState instanceState)
 {
     std::vector<Endpoint> endpoints;
     for (const HostId host : state.hostsOf(rule.pool)) {
         const HostRecord &record = *state.record(host);
         const HostSpec *spec = state.spec(host);
         const InstanceRecord *instance = record.instanceOf(rule.id);
-        if (record.state != HostState::Serving || !spec || !instance || instance->state != wanted)
+        if (record.state != HostState::Serving || !spec || !instance
+            || instance->state != instanceState)
             continue;
         endpoints.push_back({host, spec->zone, record.epoch, spec->address, rule.port});
     }
@@ -72,7 +73,7 @@
     const auto executor = co_await boost::asio::this_coro::executor;
     std::shared_ptr<OneShot<Endpoint>> waiter;
     WaiterId id;
-    Instant latest = request.deadline;
+    Instant waitDeadline = request.deadline;
     {
         const std::lock_guard lock(found->mutex);
         const Admission admission = found->router.admit(request, std::chrono::steady_clock::now());
@@ -81,17 +82,18 @@
         if (const auto *grant = std::get_if<SlotGrant>(&admission))
             co_return grant->endpoint;
         id = std::get<Waiting>(admission).id;
-        latest -= found->router.expectedLatency();
+        waitDeadline -= found->router.expectedLatency();
         waiter = std::make_shared<OneShot<Endpoint>>(executor);
         found->waiters.emplace(id, waiter);
     }
-    const std::optional<Endpoint> granted = co_await waiter->wait(latest);
+    const std::optional<Endpoint> granted = co_await waiter->wait(waitDeadline);
     if (granted)
         co_return *granted;
     const std::lock_guard lock(found->mutex);
     found->router.cancel(id);
     found->waiters.erase(id);
-    co_return Refusal{RefusalReason::QueueTimeout, Ran::No, Millis(1000)};
+    constexpr Millis kRetryAfter{1000};
+    co_return Refusal{RefusalReason::QueueTimeout, Ran::No, kRetryAfter};
 }
 
 Millis RouteTable::expectedLatency(const std::string &service) const
@@ -138,13 +140,13 @@
 int RouteTable::maxConnectionsPerUpstream() const
 {
     const std::shared_lock lock(m_mutex);
-    std::optional<int> fewest;
+    std::optional<int> lowest;
     for (const auto &[name, service] : m_services) {
         const std::lock_guard serviceLock(service->mutex);
         const int connections = service->router.rule().connections;
-        fewest = std::min(fewest.value_or(connections), connections);
+        lowest = std::min(lowest.value_or(connections), connections);
     }
-    return std::max(fewest.value_or(1) / std::max(m_settings.entryHosts, 1), 1);
+    return std::max(lowest.value_or(1) / std::max(m_settings.entryHosts, 1), 1);
 }
 
 int RouteTable::upstreamCount() const
@@ -184,21 +186,22 @@
 
 void RouteTable::deliverGrants(Service &service, const std::vector<SlotGrant> &grants)
 {
-    std::vector<SlotGrant> pending = grants;
-    while (!pending.empty()) {
-        const SlotGrant grant = pending.back();
-        pending.pop_back();
+    std::vector<SlotGrant> undelivered = grants;
+    while (!undelivered.empty()) {
+        const SlotGrant grant = undelivered.back();
+        undelivered.pop_back();
         const auto waiter = service.waiters.find(grant.waiter);
-        const bool isTaken = waiter != service.waiters.end() && waiter->second->set(grant.endpoint);
+        const bool isDelivered = waiter != service.waiters.end()
+            && waiter->second->set(grant.endpoint);
         if (waiter != service.waiters.end())
             service.waiters.erase(waiter);
-        if (isTaken)
+        if (isDelivered)
             continue;
-        // The waiter gave up in the meantime, so its slot goes to the next one.
+        // The waiter has timed out in the meantime, so its slot is granted to the next one.
         const Instant now = std::chrono::steady_clock::now();
         const auto more = service.router.finish(grant.endpoint, AttemptResult::NotTried, Millis(0),
                                                 now);
-        pending.insert(pending.end(), more.begin(), more.end());
+        undelivered.insert(undelivered.end(), more.begin(), more.end());
     }
 }
 
--- a/src/http/routetable.h
+++ b/src/http/routetable.h
@@ -19,11 +19,11 @@
 
 namespace oleanderhall {
 
-/// Internal: a granted slot or the refusal to give one.
+/// Internal: the upstream of a granted slot, or a refusal.
 using SlotResult = std::variant<Endpoint, Refusal>;
 
-/// Internal: the services' routers, shared by the worker threads. Lock order: the table's mutex,
-/// then one service's mutex, then a OneShot's.
+/// Internal: the routers of all services. Thread-safe. Lock order: the table's mutex, then one
+/// service's mutex, then a OneShot's.
 class RouteTable
 {
 public:
@@ -31,25 +31,31 @@
         : m_settings(settings)
     {}
 
-    /// Brings the services of `pools` in line with `state`; with no pools, all services.
+    /// Updates rules and endpoints of the services of `pools` from `state`. If `pools` is empty,
+    /// updates all services and removes those that the configuration no longer has.
     void refresh(const FleetState &state, const std::set<PoolId> &pools);
+    /// Sets how many entry hosts share the upstreams' slots and connections.
     void setEntryHostCount(int entryHosts);
 
+    /// Returns nothing if the service is unknown.
     std::optional<ServiceRule> ruleOf(std::string_view service) const;
-    /// Returns how long an answer of `service` takes on average.
+    /// Returns the average latency of the responses of `service`, 0 if the service is unknown.
     Millis expectedLatency(const std::string &service) const;
-    /// Waits for a slot, at most until the request could no longer meet its deadline.
+    /// Waits for a slot until the expected latency no longer fits before the request's deadline,
+    /// then completes with QueueTimeout. A granted slot must be given back with release().
     boost::asio::awaitable<SlotResult> acquire(std::string service, SlotRequest request);
+    /// Returns the slot of an attempt that ended with `result` after `took`, and grants it to the
+    /// next waiter.
     void release(const std::string &service, const Endpoint &endpoint, AttemptResult result,
                  Millis took);
-    /// Says whether `endpoint` may be sent work now, by the view as it is at this moment.
+    /// Returns whether requests may be sent to `endpoint` according to the current view.
     bool isCurrent(const std::string &service, const Endpoint &endpoint) const;
-    /// Returns how many connections this entry host may have open to one upstream: an even share of
-    /// what the strictest service's instances accept.
+    /// Returns how many connections this entry host may have open to one upstream: its even share
+    /// of the lowest connection limit of any service, at least 1.
     int maxConnectionsPerUpstream() const;
-    /// Returns the number of upstreams, over all services.
+    /// Returns the number of ready upstreams over all services.
     int upstreamCount() const;
-    /// Returns the number of requests in flight and waiting, over all services.
+    /// Returns the numbers of requests in flight and of waiting requests over all services.
     std::pair<int, int> load() const;
 
 private:
@@ -68,6 +74,7 @@
     ServicePtr find(std::string_view service) const;
     ServicePtr findOrAdd(const ServiceRule &rule);
     void removeObsoleteServices(const Register &config);
+    /// Passes granted slots to their waiters. Call with the service's mutex locked.
     static void deliverGrants(Service &service, const std::vector<SlotGrant> &grants);
 
     RouterSettings m_settings;
--- a/src/http/upstreamclient.cpp
+++ b/src/http/upstreamclient.cpp
@@ -29,8 +29,8 @@
         request.insert(name, value);
     request.set(http::field::host, endpoint.address + ":" + std::to_string(endpoint.port));
     request.set(http::field::via, "1.1 oleanderhall");
-    const auto left = std::chrono::duration_cast<Millis>(deadline - now);
-    request.set(kTimeoutHeader, std::to_string(std::max<Millis::rep>(left.count(), 1)));
+    const auto remaining = std::chrono::duration_cast<Millis>(deadline - now);
+    request.set(kTimeoutHeader, std::to_string(std::max<Millis::rep>(remaining.count(), 1)));
     request.body() = call.body;
     request.prepare_payload();
     return request;
@@ -48,8 +48,8 @@
     return reply;
 }
 
-/// g++ 12 destroys an aggregate twice that is built inside a co_return or co_await expression, so
-/// outcomes are built here.
+/// Returns a failed outcome. g++ 12 destroys an aggregate twice that is created inside a co_return
+/// or co_await expression, hence this function.
 UpstreamOutcome failure(UpstreamOutcome::Kind kind)
 {
     UpstreamOutcome outcome;
@@ -58,9 +58,9 @@
 }
 
 asio::awaitable<void> open(beast::tcp_stream &stream, asio::ip::tcp::endpoint target,
-                           Instant latest, beast::error_code &failed)
+                           Instant connectDeadline, beast::error_code &failed)
 {
-    stream.expires_at(latest);
+    stream.expires_at(connectDeadline);
     co_await stream.async_connect(target, asio::redirect_error(asio::use_awaitable, failed));
 }
 
@@ -76,7 +76,7 @@
         if (!connection)
             co_return failure(UpstreamOutcome::Kind::NotSent);
     }
-    // The exchange runs on the connection's own strand, as its timer and its socket do.
+    // The exchange must run on the connection's strand, on which its timer and its socket run.
     UpstreamOutcome outcome = co_await asio::co_spawn(
         connection->stream.get_executor(), exchange(*connection, call, endpoint, deadline),
         asio::use_awaitable);
@@ -104,11 +104,12 @@
     if (failed)
         co_return nullptr;
     auto connection = std::make_unique<Connection>(beast::tcp_stream(asio::make_strand(m_io)));
-    const Instant latest = std::chrono::steady_clock::now() + m_settings.connectTimeout;
+    const Instant connectDeadline = std::chrono::steady_clock::now() + m_settings.connectTimeout;
     const asio::ip::tcp::endpoint target(address, endpoint.port);
-    co_await asio::co_spawn(connection->stream.get_executor(),
-                            open(connection->stream, target, std::min(deadline, latest), failed),
-                            asio::use_awaitable);
+    co_await asio::co_spawn(
+        connection->stream.get_executor(),
+        open(connection->stream, target, std::min(deadline, connectDeadline), failed),
+        asio::use_awaitable);
     if (failed)
         co_return nullptr;
     connection->stream.socket().set_option(asio::ip::tcp::no_delay(true), failed);
@@ -145,7 +146,7 @@
     if (failed || parser.need_eof() || connection.buffer.size() > 0)
         co_return failure(Kind::InvalidResponse);
     HttpResponse response = parser.release();
-    // A connection that the upstream will close must not be used again.
+    // The upstream is going to close this connection, so it must not be reused.
     if (!response.keep_alive())
         connection.stream.close();
     UpstreamOutcome outcome;
--- a/src/http/upstreamclient.h
+++ b/src/http/upstreamclient.h
@@ -25,12 +25,12 @@
 {
     std::size_t maxResponseBytes = 4UL << 20;
     Millis connectTimeout{300};
-    Millis idleTimeout{4000};
+    Millis idleTimeout{4000}; ///< Idle connections are not reused after this time.
 };
 
-/// Internal: sends requests to upstreams. It never sends a request twice. A connection is used
-/// again only after a whole answer with nothing left over; one that timed out is closed, so that a
-/// late answer can't reach another request.
+/// Internal: sends requests to upstreams, each at most once. A connection is reused only after a
+/// complete response without surplus bytes. A connection that timed out is closed, so that a late
+/// response can't be taken for that of another request. Thread-safe.
 class UpstreamClient
 {
 public:
@@ -39,13 +39,15 @@
         , m_settings(settings)
     {}
 
-    /// Sends `call` to `endpoint` once. `mayReuse` allows a connection that was used before.
+    /// Sends `call` to `endpoint` and waits for the response until `deadline`. `mayReuse` allows a
+    /// connection that was used before, which the upstream may have closed.
     boost::asio::awaitable<UpstreamOutcome> send(const Endpoint &endpoint, const Call &call,
                                                  Instant deadline, bool mayReuse);
 
-    /// Sets how many connections this entry host may have open to one upstream.
+    /// Sets the limit of open connections to one upstream up to which they are kept for reuse. It
+    /// doesn\'t limit new connections.
     void setMaxConnections(int connections) { m_maxConnections = connections; }
-    /// Closes idle connections that were not used for the idle timeout.
+    /// Closes connections that have been idle for longer than the idle timeout.
     void closeIdle(Instant now);
 
 private:
--- a/src/http/upstreamoutcome.h
+++ b/src/http/upstreamoutcome.h
@@ -4,15 +4,15 @@
 
 namespace oleanderhall {
 
-/// Internal: how one attempt at an upstream ended.
+/// Internal: the outcome of one attempt to send a request to an upstream.
 struct UpstreamOutcome
 {
     enum class Kind {
-        Responded, ///< A whole answer came.
-        NotSent, ///< Not one byte of the request was handed to a connection.
-        Stale, ///< A reused connection was closed before any byte of an answer.
-        TimedOut, ///< No whole answer in time.
-        InvalidResponse, ///< The connection ended, or the answer was malformed or too large.
+        Responded, ///< A complete response was received.
+        NotSent, ///< No byte of the request was written to a connection.
+        Stale, ///< A reused connection failed before the first byte of a response.
+        TimedOut, ///< No complete response by the deadline.
+        InvalidResponse, ///< The connection was closed, or the response was malformed or too large.
     };
 
     Kind kind = Kind::NotSent;
