--- a/tests/http/callerserver_test.cpp
+++ b/tests/http/callerserver_test.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-/// Runs a CallerServer on loopback with one service, "alpha", on one upstream.
+/// Runs a CallerServer on loopback with the service "alpha", which has one upstream.
 class CallerServerTest
 {
 protected:
@@ -66,7 +66,7 @@
         return socket;
     }
 
-    /// Sends `text` and returns everything until the server closes or a whole answer came.
+    /// Sends `text` and returns everything that the server sends until it closes the connection.
     std::string exchange(const std::string &text)
     {
         asio::ip::tcp::socket socket = connect();
@@ -76,27 +76,28 @@
 
     static std::string readAll(asio::ip::tcp::socket &socket)
     {
-        std::string answer;
+        std::string response;
         boost::system::error_code ignored;
-        asio::read(socket, asio::dynamic_buffer(answer), ignored);
-        return answer;
+        asio::read(socket, asio::dynamic_buffer(response), ignored);
+        return response;
     }
 
-    static bool has(const std::string &answer, const std::string &status, const std::string &reason)
+    static bool has(const std::string &response, const std::string &status,
+                    const std::string &reason)
     {
-        return answer.starts_with("HTTP/1.1 " + status)
-            && answer.find("\"reason\":\"" + reason + "\",\"ran\":\"no\"") != std::string::npos;
+        return response.starts_with("HTTP/1.1 " + status)
+            && response.find("\"reason\":\"" + reason + "\",\"ran\":\"no\"") != std::string::npos;
     }
 
-    /// Sends `head` and then `megabytes` of filling, as far as the server takes it.
+    /// Sends `head` and then `megabytes` of padding, until the server closes the connection.
     void flood(const std::string &head, int megabytes)
     {
         asio::ip::tcp::socket socket = connect();
         FakeUpstream::send(socket, head);
-        const std::string filling(1 << 16, 'f');
+        const std::string padding(1 << 16, 'f');
         boost::system::error_code failed;
         for (int count = 0; count < megabytes * 16 && !failed; ++count)
-            asio::write(socket, asio::buffer(filling), failed);
+            asio::write(socket, asio::buffer(padding), failed);
     }
 
     static long residentPages()
@@ -109,7 +110,8 @@
     }
 
     static constexpr std::uint16_t kPort = 18099;
-    const std::string kGood = "GET /alpha/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
+    const std::string
+        kValidRequest = "GET /alpha/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
 
     FakeUpstream upstream{[](auto &socket, const auto &request, int) {
         if (request.find(" /cut") != std::string::npos) {
@@ -127,7 +129,8 @@
     ViewLease lease{Millis(3000)};
     RouteTable routes{RouterSettings{.zone = ZoneId("z0")}};
     UpstreamClient upstreams{io, {}};
-    DynamoTable table{"http://127.0.0.1:1/", Millis(200)}; // Nobody listens there.
+    // No server listens on this port, so that every claim fails.
+    DynamoTable table{"http://127.0.0.1:1/", Millis(200)};
     ClaimService claims{table};
     std::atomic<bool> isDraining{false};
     Dispatcher dispatcher{{routes, upstreams, claims, lease, metrics, traces}};
@@ -139,23 +142,23 @@
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: a good request: the upstream's answer comes back")
 {
-    const std::string answer = exchange(kGood);
-    CHECK(answer.starts_with("HTTP/1.1 200"));
-    CHECK(answer.ends_with("fine"));
+    const std::string response = exchange(kValidRequest);
+    CHECK(response.starts_with("HTTP/1.1 200"));
+    CHECK(response.ends_with("fine"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: an endless header: refused with its limit kept")
 {
-    const std::string answer = exchange("GET /alpha/x HTTP/1.1\r\nX: " + std::string(100000, 'x')
-                                        + "\r\n\r\n");
-    CHECK(has(answer, "431", "header_too_large"));
+    const std::string response = exchange("GET /alpha/x HTTP/1.1\r\nX: " + std::string(100000, 'x')
+                                          + "\r\n\r\n");
+    CHECK(has(response, "431", "header_too_large"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: a body over the limit: refused before it is read")
 {
-    const std::string answer = exchange(
+    const std::string response = exchange(
         "POST /alpha/x HTTP/1.1\r\nHost: h\r\nContent-Length: 104857600\r\n\r\nx");
-    CHECK(has(answer, "413", "body_too_large"));
+    CHECK(has(response, "413", "body_too_large"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: an endless chunked body: refused at the limit")
@@ -163,9 +166,9 @@
     std::string chunks;
     for (int count = 0; count < 100; ++count)
         chunks += "100\r\n" + std::string(256, 'c') + "\r\n";
-    const std::string answer = exchange(
+    const std::string response = exchange(
         "POST /alpha/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
-    CHECK(has(answer, "413", "body_too_large"));
+    CHECK(has(response, "413", "body_too_large"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: two lengths: refused, and nothing is run")
@@ -173,9 +176,9 @@
     for (const std::string fields : {"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
                                      "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
                                      "Content-Length: 4\r\nContent-Length: 5\r\n"}) {
-        const std::string answer = exchange("POST /alpha/x HTTP/1.1\r\nHost: h\r\n" + fields
-                                            + "\r\n0\r\n\r\nGET /alpha/y HTTP/1.1\r\n\r\n");
-        CHECK(has(answer, "400", "bad_request"));
+        const std::string response = exchange("POST /alpha/x HTTP/1.1\r\nHost: h\r\n" + fields
+                                              + "\r\n0\r\n\r\nGET /alpha/y HTTP/1.1\r\n\r\n");
+        CHECK(has(response, "400", "bad_request"));
     }
     CHECK(upstream.requestCount() == 0);
 }
@@ -184,15 +187,15 @@
 {
     asio::ip::tcp::socket slow = connect();
     FakeUpstream::send(slow, "GET /alpha/x HT");
-    CHECK(exchange(kGood).starts_with("HTTP/1.1 200"));
+    CHECK(exchange(kValidRequest).starts_with("HTTP/1.1 200"));
     CHECK(has(readAll(slow), "408", "request_too_slow"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: a body that stops half way: refused as too slow")
 {
-    const std::string answer = exchange(
+    const std::string response = exchange(
         "POST /alpha/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nhalf");
-    CHECK(has(answer, "408", "request_too_slow"));
+    CHECK(has(response, "408", "request_too_slow"));
     CHECK(upstream.requestCount() == 0);
 }
 
@@ -232,25 +235,25 @@
 TEST_CASE_METHOD(CallerServerTest,
                  "CallerServer: an unrepeatable request without the table: refused as not run")
 {
-    const std::string answer = exchange(
+    const std::string response = exchange(
         "POST /alpha/orders HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
         "Content-Length: 0\r\nIdempotency-Key: k\r\n\r\n");
-    CHECK(has(answer, "503", "claims_unavailable"));
-    CHECK(answer.find("Retry-After: 1\r\n") != std::string::npos);
+    CHECK(has(response, "503", "claims_unavailable"));
+    CHECK(response.find("Retry-After: 1\r\n") != std::string::npos);
     CHECK(upstream.requestCount() == 0);
 }
 
 TEST_CASE_METHOD(CallerServerTest,
                  "CallerServer: the only upstream cuts its answer: refused with an unknown outcome")
 {
-    constexpr int kTriesThatEarnARetry = 20;
-    for (int count = 0; count < kTriesThatEarnARetry; ++count)
-        exchange(kGood);
-    const std::string answer = exchange(
+    constexpr int kRequestsForOneRetry = 20;
+    for (int count = 0; count < kRequestsForOneRetry; ++count)
+        exchange(kValidRequest);
+    const std::string response = exchange(
         "GET /alpha/cut HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-    CHECK(answer.starts_with("HTTP/1.1 502"));
-    CHECK(answer.find("\"ran\":\"unknown\"") != std::string::npos);
-    CHECK(exchange(kGood).starts_with("HTTP/1.1 200"));
+    CHECK(response.starts_with("HTTP/1.1 502"));
+    CHECK(response.find("\"ran\":\"unknown\"") != std::string::npos);
+    CHECK(exchange(kValidRequest).starts_with("HTTP/1.1 200"));
 }
 
 TEST_CASE_METHOD(CallerServerTest,
@@ -258,14 +261,14 @@
 {
     constexpr int kMegabytes = 100;
     constexpr long kPagesPerMegabyte = 256;
-    constexpr long kMostGrowth = 8 * kPagesPerMegabyte;
-    exchange(kGood);
+    constexpr long kMaxGrowthPages = 8 * kPagesPerMegabyte;
+    exchange(kValidRequest);
     const long before = residentPages();
     flood("GET /alpha/x HTTP/1.1\r\nX: ", kMegabytes);
     flood("POST /alpha/x HTTP/1.1\r\nHost: h\r\nContent-Length: 104857600\r\n\r\n", kMegabytes);
     flood("POST /alpha/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n6400000\r\n",
           kMegabytes);
-    CHECK(residentPages() - before < kMostGrowth);
-    CHECK(exchange(kGood).starts_with("HTTP/1.1 200"));
+    CHECK(residentPages() - before < kMaxGrowthPages);
+    CHECK(exchange(kValidRequest).starts_with("HTTP/1.1 200"));
     CHECK(upstream.requestCount() == 2);
 }
--- a/tests/http/upstreamclient_test.cpp
+++ b/tests/http/upstreamclient_test.cpp
@@ -53,8 +53,8 @@
 {
     std::uint16_t port = 0;
     {
-        const FakeUpstream gone([](auto &, const auto &, int) { return false; });
-        port = gone.port();
+        const FakeUpstream closed([](auto &, const auto &, int) { return false; });
+        port = closed.port();
     }
     CHECK(sendTo(port, Millis(1000), false).kind == Kind::NotSent);
 }
@@ -130,7 +130,8 @@
 
 TEST_CASE("cpprestsdk's client: the upstream closes after reading: the request is sent twice")
 {
-    // Why upstreams are not reached through it: the same script as above, one request more.
+    // The reason for UpstreamClient: with the same script as above, cpprestsdk's client repeats a
+    // request that the upstream may already have executed.
     const FakeUpstream upstream([](auto &socket, const auto &, int number) {
         if (number == 1)
             FakeUpstream::send(socket, FakeUpstream::okResponse("ok"));
--- a/tests/support/fakeupstream.h
+++ b/tests/support/fakeupstream.h
@@ -10,13 +10,15 @@
 
 namespace oleanderhall::test {
 
-/// A FakeUpstream accepts connections one after another on loopback, reads one request from each
-/// (or more, as the script says) and does with the socket what the script says.
+/// An upstream on a loopback port of its own. Serves one connection at a time: reads a request up
+/// to the end of its header, calls the script and reads the next one if the script returns true.
+/// Otherwise it closes the connection.
 class FakeUpstream
 {
 public:
     using Socket = boost::asio::ip::tcp::socket;
-    /// Gets the socket, the request's text and the number of the request, from 1.
+    /// Answers one request. Receives the socket, the request's text and its number, counted from 1
+    /// over all connections. Returns whether the connection stays open.
     using Script = std::function<bool(Socket &, const std::string &, int)>;
 
     explicit FakeUpstream(Script script)
@@ -49,6 +51,7 @@
         boost::system::error_code ignored;
         boost::asio::write(socket, boost::asio::buffer(text), ignored);
     }
+    /// Returns a response with status 200.
     static std::string okResponse(const std::string &body)
     {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
@@ -66,14 +69,14 @@
                 return;
             ++m_connectionCount;
             setCurrentSocket(&socket);
-            bool goesOn = true;
-            while (goesOn) {
+            bool staysOpen = true;
+            while (staysOpen) {
                 std::string text;
                 boost::asio::read_until(socket, boost::asio::dynamic_buffer(text), "\r\n\r\n",
                                         failed);
                 if (failed)
                     break;
-                goesOn = m_script(socket, text, ++m_requestCount);
+                staysOpen = m_script(socket, text, ++m_requestCount);
             }
             setCurrentSocket(nullptr);
         }
