--- a/src/http/claimservice.h
+++ b/src/http/claimservice.h
@@ -36,7 +36,8 @@
     boost::asio::awaitable<ClaimOutcome> claim(std::string service, std::string key,
                                                std::string content, Instant deadline);
     /// Queues the outcome of a request for writing to its claim. Doesn't block. If the table stays
-    /// unavailable or the queue is full, the outcome is dropped and the claim stays open.
+    /// unavailable, the queue is full or the service stops before a further attempt, the outcome is
+    /// dropped and the claim stays open.
     void recordOutcome(const ClaimHandle &handle, ClaimRecord record);
 
 private:
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -80,9 +80,9 @@
     std::vector<std::string> steps;
 };
 
-Dispatcher::Dispatcher(DispatcherDependencies parts)
-    : m_deps(parts)
-    , m_budget(parts.retryPercent)
+Dispatcher::Dispatcher(DispatcherDependencies dependencies)
+    : m_deps(dependencies)
+    , m_budget(dependencies.retryPercent)
 {}
 
 asio::awaitable<Reply> Dispatcher::dispatch(Call call)
--- a/src/http/dispatcher.h
+++ b/src/http/dispatcher.h
@@ -38,7 +38,7 @@
 class Dispatcher
 {
 public:
-    explicit Dispatcher(DispatcherDependencies parts);
+    explicit Dispatcher(DispatcherDependencies dependencies);
 
     /// Completes with the upstream's response, a replayed response or a refusal. Records the
     /// outcome in the claim, the metrics and the request's trace.
--- a/src/http/httpclient.h
+++ b/src/http/httpclient.h
@@ -59,7 +59,8 @@
 
     /// Sends `call` and calls `done` exactly once, never before send() returns.
     void send(HttpCall call, Callback done);
-    /// Closes all connections. Calls in flight end as Unknown or NotSent.
+    /// Closes all connections. Calls on them end as Unknown or NotSent, unless they are sent again;
+    /// queued calls are still sent.
     void close();
     /// Returns the number of connections opened so far, including failed attempts.
     std::uint64_t connectionsOpened() const { return m_connectionsOpened; }
--- a/src/http/routetable.cpp
+++ b/src/http/routetable.cpp
@@ -46,13 +46,13 @@
     }
 }
 
-void RouteTable::setEntryHostCount(int entryHosts)
+void RouteTable::setEntryHostCount(int entryHostCount)
 {
     const std::unique_lock lock(m_mutex);
-    m_settings.entryHosts = entryHosts;
+    m_settings.entryHosts = entryHostCount;
     for (const auto &[name, service] : m_services) {
         const std::lock_guard serviceLock(service->mutex);
-        service->router.setEntryHosts(entryHosts);
+        service->router.setEntryHosts(entryHostCount);
     }
 }
 
@@ -106,14 +106,14 @@
 }
 
 void RouteTable::release(const std::string &service, const Endpoint &endpoint, AttemptResult result,
-                         Millis took)
+                         Millis duration)
 {
     const ServicePtr found = find(service);
     if (!found)
         return;
     const std::lock_guard lock(found->mutex);
     const Instant now = std::chrono::steady_clock::now();
-    deliverGrants(*found, found->router.finish(endpoint, result, took, now));
+    deliverGrants(*found, found->router.finish(endpoint, result, duration, now));
 }
 
 bool RouteTable::isCurrent(const std::string &service, const Endpoint &endpoint) const
--- a/src/http/routetable.h
+++ b/src/http/routetable.h
@@ -35,7 +35,7 @@
     /// updates all services and removes those that the configuration no longer has.
     void refresh(const FleetState &state, const std::set<PoolId> &pools);
     /// Sets how many entry hosts share the upstreams' slots and connections.
-    void setEntryHostCount(int entryHosts);
+    void setEntryHostCount(int entryHostCount);
 
     /// Returns nothing if the service is unknown.
     std::optional<ServiceRule> ruleOf(std::string_view service) const;
@@ -44,10 +44,10 @@
     /// Waits for a slot until the expected latency no longer fits before the request's deadline,
     /// then completes with QueueTimeout. A granted slot must be given back with release().
     boost::asio::awaitable<SlotResult> acquire(std::string service, SlotRequest request);
-    /// Returns the slot of an attempt that ended with `result` after `took`, and grants it to the
-    /// next waiter.
+    /// Gives back the slot of an attempt that ended with `result` after `duration`, and grants it
+    /// to the next waiter.
     void release(const std::string &service, const Endpoint &endpoint, AttemptResult result,
-                 Millis took);
+                 Millis duration);
     /// Returns whether requests may be sent to `endpoint` according to the current view.
     bool isCurrent(const std::string &service, const Endpoint &endpoint) const;
     /// Returns how many connections this entry host may have open to one upstream: its even share
--- a/src/http/upstreamclient.h
+++ b/src/http/upstreamclient.h
@@ -45,7 +45,7 @@
                                                  Instant deadline, bool mayReuse);
 
     /// Sets the limit of open connections to one upstream up to which they are kept for reuse. It
-    /// doesn\'t limit new connections.
+    /// doesn't limit new connections.
     void setMaxConnections(int connections) { m_maxConnections = connections; }
     /// Closes connections that have been idle for longer than the idle timeout.
     void closeIdle(Instant now);
