--- a/src/http/claimservice.cpp
+++ b/src/http/claimservice.cpp
@@ -36,8 +36,7 @@
 
 Refusal claimsUnavailable()
 {
-    constexpr Millis kRetryAfter{1000};
-    return {RefusalReason::ClaimsUnavailable, Ran::No, kRetryAfter};
+    return {RefusalReason::ClaimsUnavailable, Ran::No, Millis(1000)};
 }
 
 } // namespace
--- a/src/http/routetable.cpp
+++ b/src/http/routetable.cpp
@@ -92,8 +92,7 @@
     const std::lock_guard lock(found->mutex);
     found->router.cancel(id);
     found->waiters.erase(id);
-    constexpr Millis kRetryAfter{1000};
-    co_return Refusal{RefusalReason::QueueTimeout, Ran::No, kRetryAfter};
+    co_return Refusal{RefusalReason::QueueTimeout, Ran::No, Millis(1000)};
 }
 
 Millis RouteTable::expectedLatency(const std::string &service) const
