--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -80,21 +80,21 @@
     return job;
 }
 
-asio::awaitable<HttpAnswer> Callers::call(const std::string &method, const JobSpec &job,
+asio::awaitable<HttpResult> Callers::call(const std::string &method, const JobSpec &job,
                                           std::string body)
 {
     const auto &nodes = m_deployment.nodes();
     const std::string &node = nodes[m_random() % nodes.size()].callerAddress;
-    auto result = std::make_shared<OneShot<HttpAnswer>>(m_io.get_executor());
+    auto result = std::make_shared<OneShot<HttpResult>>(m_io.get_executor());
     m_clients.at(node)->send(
         {.method = method,
          .target = job.queue.prefix + textOf(job.id),
          .headers = {{"Host", job.queue.host}, {"Content-Type", "application/json"}},
          .body = std::move(body),
          .timeout = kCallTimeout},
-        [result](HttpAnswer response) { result->set(std::move(response)); });
+        [result](HttpResult response) { result->set(std::move(response)); });
     auto response = co_await result->wait(std::chrono::steady_clock::now() + 2 * kCallTimeout);
-    co_return response ? std::move(*response) : HttpAnswer{};
+    co_return response ? std::move(*response) : HttpResult{};
 }
 
 /// Submits the job until it is accepted or the attempts are used up. Returns whether it was
@@ -104,8 +104,8 @@
     m_checker.onSubmitted(job);
     bool mayBeStored = false;
     for (int attempts = 0; attempts < kMaxSubmitAttempts; ++attempts) {
-        const HttpAnswer response = co_await call("POST", job, platform::encodeSubmission(job));
-        const bool hasResponse = response.outcome == HttpAnswer::Outcome::Answered;
+        const HttpResult response = co_await call("POST", job, platform::encodeSubmission(job));
+        const bool hasResponse = response.outcome == HttpResult::Outcome::Responded;
         if (hasResponse && response.status == kOk) {
             ++m_accepted;
             m_checker.onAccepted(job.id);
@@ -113,7 +113,7 @@
         }
         const bool isUnknown = hasResponse
             ? response.status == kGatewayError || response.status == kOutcomeUnknown
-            : response.outcome == HttpAnswer::Outcome::Unknown;
+            : response.outcome == HttpResult::Outcome::Unknown;
         mayBeStored = mayBeStored || isUnknown;
         co_await wait(kRetryDelay);
     }
@@ -134,15 +134,15 @@
         if (wantsCancel && ++polls == 2) {
             m_checker.onCancelSent(job.id);
             for (;;) {
-                const HttpAnswer response = co_await call("DELETE", job, "");
-                if (response.outcome == HttpAnswer::Outcome::Answered
+                const HttpResult response = co_await call("DELETE", job, "");
+                if (response.outcome == HttpResult::Outcome::Responded
                     && (response.status == kOk || response.status == kGone))
                     break;
                 co_await wait(kRetryDelay);
             }
         }
-        const HttpAnswer response = co_await call("GET", job, "");
-        if (response.outcome != HttpAnswer::Outcome::Answered
+        const HttpResult response = co_await call("GET", job, "");
+        if (response.outcome != HttpResult::Outcome::Responded
             || (response.status != kOk && response.status != kGone))
             continue;
         const auto state = response.status == kGone ? std::nullopt
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -38,7 +38,7 @@
     boost::asio::awaitable<void> generateJobs(double perSecond, Millis time);
     boost::asio::awaitable<void> runCaller(JobSpec job);
     boost::asio::awaitable<bool> submit(const JobSpec &job);
-    boost::asio::awaitable<HttpAnswer> call(const std::string &method, const JobSpec &job,
+    boost::asio::awaitable<HttpResult> call(const std::string &method, const JobSpec &job,
                                             std::string body);
     boost::asio::awaitable<void> wait(Millis time);
     JobSpec makeJob();
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -17,17 +17,17 @@
 
 namespace {
 
-constexpr int kMaxTries = 4; // upstreams for one request
-constexpr int kPlenty = 3; // times the expected latency
-constexpr Millis kShortestTry{50}; // of a request that may be tried again
-constexpr Millis kComeBack{1000};
+constexpr int kMaxAttempts = 4; // per request
+constexpr int kMinLatencyMultiple = 3; // least attempt time, in expected latencies
+constexpr Millis kMinAttemptTime{50}; // if another attempt may follow
+constexpr Millis kRetryAfter{1000};
 
 Instant timeNow()
 {
     return std::chrono::steady_clock::now();
 }
 
-Millis since(Instant start)
+Millis elapsedSince(Instant start)
 {
     return std::chrono::duration_cast<Millis>(timeNow() - start);
 }
@@ -38,20 +38,22 @@
         != rule.notRunStatuses.end();
 }
 
-/// A request that may be tried again leaves half of its time for the next try, if half is plenty
-/// for this one. Cutting a try short that would have been answered wastes the slot that it holds.
-Instant latestAnswer(const Call &call, int tries, Millis expected)
+/// Returns the deadline of the next attempt. A request that may be retried reserves half of its
+/// remaining time for the retry, provided that the other half is several times the expected
+/// latency. Cutting off an attempt that would have been answered wastes the upstream slot that it
+/// occupies.
+Instant attemptDeadline(const Call &call, int attempts, Millis expected)
 {
     const Instant now = timeNow();
-    if (call.isUnrepeatable || tries + 1 >= kMaxTries)
+    if (call.isUnrepeatable || attempts + 1 >= kMaxAttempts)
         return call.deadline;
     const auto half = std::chrono::duration_cast<Millis>((call.deadline - now) / 2);
-    if (half < kPlenty * expected)
+    if (half < kMinLatencyMultiple * expected)
         return call.deadline;
-    return std::min(call.deadline, now + std::max(half, kShortestTry));
+    return std::min(call.deadline, now + std::max(half, kMinAttemptTime));
 }
 
-std::string headerOf(const HeaderList &headers, std::string_view wanted)
+std::string headerValue(const HeaderList &headers, std::string_view wanted)
 {
     for (const auto &[name, value] : headers) {
         if (boost::beast::iequals(name, {wanted.data(), wanted.size()}))
@@ -71,22 +73,22 @@
 
 struct Dispatcher::Progress
 {
-    int tries = 0;
-    bool wasSent = false; ///< An earlier try was sent and its outcome is unknown.
-    std::vector<HostId> tried;
+    int attempts = 0;
+    bool hasUnknownOutcome = false; ///< An attempt was sent and its outcome is unknown.
+    std::vector<HostId> triedHosts;
     std::optional<ClaimHandle> claim;
     std::vector<std::string> steps;
 };
 
-Dispatcher::Dispatcher(DispatcherParts parts)
-    : m_parts(parts)
-    , m_budget(parts.retryPercent)
+Dispatcher::Dispatcher(DispatcherDependencies dependencies)
+    : m_deps(dependencies)
+    , m_budget(dependencies.retryPercent)
 {}
 
 asio::awaitable<Reply> Dispatcher::dispatch(Call call)
 {
     Progress progress;
-    m_parts.metrics.countFirstTry();
+    m_deps.metrics.countFirstTry();
     {
         const std::lock_guard lock(m_budgetMutex);
         m_budget.countFirstAttempt(timeNow());
@@ -96,53 +98,57 @@
         if (timeNow() >= call.deadline)
             reply = refuse(
                 call, progress,
-                {RefusalReason::UpstreamTimeout, ExecutionStatus::NotExecuted, kComeBack});
+                {RefusalReason::UpstreamTimeout, ExecutionStatus::NotExecuted, kRetryAfter});
         else
             reply = co_await attempt(call, progress);
     }
     progress.steps.push_back("status " + std::to_string(reply->status));
-    m_parts.traces.add(
-        {headerOf(call.headers, "X-Request-Id"), call.rule.id.name(), std::move(progress.steps)});
+    m_deps.traces.add({headerValue(call.headers, "X-Request-Id"), call.rule.id.name(),
+                       std::move(progress.steps)});
     co_return std::move(*reply);
 }
 
 asio::awaitable<std::optional<Reply>> Dispatcher::attempt(Call &call, Progress &progress)
 {
     const std::string service = call.rule.id.name();
-    // Built here, as g++ 12 destroys an aggregate twice that is built inside a co_await expression.
+    // A named variable, because g++ 12 destroys an aggregate twice that is created inside a
+    // co_await expression.
     SlotRequest request;
     request.deadline = call.deadline;
-    request.viewIsFresh = m_parts.view.isFresh(timeNow());
-    request.excludedHosts = progress.tried;
-    const SlotResult slot = co_await m_parts.routes.acquire(service, std::move(request));
+    request.viewIsFresh = m_deps.view.isFresh(timeNow());
+    request.excludedHosts = progress.triedHosts;
+    const SlotResult slot = co_await m_deps.routes.acquire(service, std::move(request));
     if (const auto *refusal = std::get_if<Refusal>(&slot)) {
-        const bool hasTriedAll = refusal->reason == RefusalReason::NoUpstream && progress.tries > 0;
+        const bool hasAttemptedAll = refusal->reason == RefusalReason::NoUpstream
+            && progress.attempts > 0;
         co_return refuse(call, progress,
-                         hasTriedAll ? Refusal{RefusalReason::UpstreamUnreachable,
-                                               ExecutionStatus::NotExecuted, kComeBack}
-                                     : *refusal);
+                         hasAttemptedAll ? Refusal{RefusalReason::UpstreamUnreachable,
+                                                   ExecutionStatus::NotExecuted, kRetryAfter}
+                                         : *refusal);
     }
     const Endpoint endpoint = std::get<Endpoint>(slot);
     if (call.isUnrepeatable && !progress.claim) {
-        std::optional<Reply> refused = co_await claimFor(call, progress);
+        std::optional<Reply> refused = co_await acquireClaim(call, progress);
         if (refused) {
-            m_parts.routes.release(service, endpoint, AttemptResult::NotAttempted, Millis(0));
+            m_deps.routes.release(service, endpoint, AttemptResult::NotAttempted, Millis(0));
             co_return refused;
         }
     }
-    // The view may have changed, or this process may have been paused, since the slot was granted.
-    if (!m_parts.routes.isCurrent(service, endpoint)) {
-        m_parts.routes.release(service, endpoint, AttemptResult::NotAttempted, Millis(0));
+    // The view may have changed since the slot was granted, for example while this process was
+    // paused.
+    if (!m_deps.routes.isCurrent(service, endpoint)) {
+        m_deps.routes.release(service, endpoint, AttemptResult::NotAttempted, Millis(0));
         co_return std::nullopt;
     }
-    ++progress.tries;
+    ++progress.attempts;
     const Instant started = timeNow();
-    UpstreamOutcome outcome = co_await m_parts.upstreams.send(
-        endpoint, call, latestAnswer(call, progress.tries, m_parts.routes.expectedLatency(service)),
+    UpstreamOutcome outcome = co_await m_deps.upstreams.send(
+        endpoint, call,
+        attemptDeadline(call, progress.attempts, m_deps.routes.expectedLatency(service)),
         !call.isUnrepeatable);
     using Kind = UpstreamOutcome::Kind;
     AttemptResult result = AttemptResult::IncompleteResponse;
-    if (outcome.kind == Kind::Answered) {
+    if (outcome.kind == Kind::Responded) {
         result = isNotRunStatus(call.rule, outcome.reply.status) ? AttemptResult::Refused
                                                                  : AttemptResult::Responded;
     } else if (outcome.kind == Kind::NotSent) {
@@ -150,13 +156,13 @@
     } else if (outcome.kind == Kind::Stale) {
         result = AttemptResult::NotAttempted;
     }
-    m_parts.routes.release(service, endpoint, result, since(started));
-    co_return judge(call, progress, endpoint, std::move(outcome));
+    m_deps.routes.release(service, endpoint, result, elapsedSince(started));
+    co_return handleOutcome(call, progress, endpoint, std::move(outcome));
 }
 
-asio::awaitable<std::optional<Reply>> Dispatcher::claimFor(Call &call, Progress &progress)
+asio::awaitable<std::optional<Reply>> Dispatcher::acquireClaim(Call &call, Progress &progress)
 {
-    const ClaimOutcome outcome = co_await m_parts.claims.claim(
+    const ClaimOutcome outcome = co_await m_deps.claims.claim(
         call.rule.id.name(), call.idempotencyKey,
         call.method + " " + call.target + "\n" + call.body, call.deadline);
     if (const auto *handle = std::get_if<ClaimHandle>(&outcome)) {
@@ -168,35 +174,35 @@
         if (!replay->contentType.empty())
             reply.headers.emplace_back("Content-Type", replay->contentType);
         reply.headers.emplace_back("Idempotency-Replayed", "true");
-        m_parts.metrics.count("replayed_answers_total");
+        m_deps.metrics.count("replayed_answers_total");
         co_return reply;
     }
     co_return refuse(call, progress, std::get<Refusal>(outcome));
 }
 
-std::optional<Reply> Dispatcher::judge(Call &call, Progress &progress, const Endpoint &endpoint,
-                                       UpstreamOutcome outcome)
+std::optional<Reply> Dispatcher::handleOutcome(Call &call, Progress &progress,
+                                               const Endpoint &endpoint, UpstreamOutcome outcome)
 {
     using Kind = UpstreamOutcome::Kind;
     progress.steps.push_back(endpoint.host.name() + " " + std::string(nameOf(outcome.kind)));
     if (outcome.kind != Kind::Stale)
-        progress.tried.push_back(endpoint.host);
+        progress.triedHosts.push_back(endpoint.host);
     if (outcome.kind == Kind::NotSent) {
-        m_parts.metrics.countRetry(RetryReason::ConnectFailed);
-        if (progress.tries < kMaxTries)
+        m_deps.metrics.countRetry(RetryReason::ConnectFailed);
+        if (progress.attempts < kMaxAttempts)
             return std::nullopt;
         return refuse(
             call, progress,
-            {RefusalReason::UpstreamUnreachable, ExecutionStatus::NotExecuted, kComeBack});
+            {RefusalReason::UpstreamUnreachable, ExecutionStatus::NotExecuted, kRetryAfter});
     }
-    if (outcome.kind == Kind::Answered) {
+    if (outcome.kind == Kind::Responded) {
         if (!isNotRunStatus(call.rule, outcome.reply.status))
-            return answer(call, progress, std::move(outcome.reply));
+            return forwardResponse(call, progress, std::move(outcome.reply));
         return retryOrRefuse(
             call, progress, RetryReason::UpstreamRefused,
-            {RefusalReason::UpstreamRefused, ExecutionStatus::NotExecuted, kComeBack});
+            {RefusalReason::UpstreamRefused, ExecutionStatus::NotExecuted, kRetryAfter});
     }
-    progress.wasSent = true;
+    progress.hasUnknownOutcome = true;
     if (outcome.kind == Kind::TimedOut)
         return retryOrRefuse(
             call, progress, RetryReason::TimedOut,
@@ -210,51 +216,50 @@
 std::optional<Reply> Dispatcher::retryOrRefuse(const Call &call, Progress &progress,
                                                RetryReason retry, const Refusal &refusal)
 {
-    // An unrepeatable request may be sent again only when the upstream said that it did not run.
-    const bool mayRepeat = !call.isUnrepeatable
-        || refusal.execution == ExecutionStatus::NotExecuted;
-    if (!mayRepeat || progress.tries >= kMaxTries || timeNow() >= call.deadline)
+    // An unrepeatable request may be sent again only if it is certain that it was not executed.
+    const bool mayRetry = !call.isUnrepeatable || refusal.execution == ExecutionStatus::NotExecuted;
+    if (!mayRetry || progress.attempts >= kMaxAttempts || timeNow() >= call.deadline)
         return refuse(call, progress, refusal);
-    if (!tryRetry()) {
-        m_parts.metrics.count("retry_budget_denials_total");
+    if (!acquireRetry()) {
+        m_deps.metrics.count("retry_budget_denials_total");
         return refuse(call, progress, refusal);
     }
-    m_parts.metrics.countRetry(retry);
+    m_deps.metrics.countRetry(retry);
     return std::nullopt;
 }
 
-Reply Dispatcher::answer(const Call &call, Progress &progress, Reply reply)
+Reply Dispatcher::forwardResponse(const Call &call, Progress &progress, Reply reply)
 {
     if (progress.claim) {
         ClaimRecord record = progress.claim->record;
         record.state = ClaimState::Done;
         record.status = reply.status;
-        record.contentType = headerOf(reply.headers, "Content-Type");
+        record.contentType = headerValue(reply.headers, "Content-Type");
         record.body = reply.body;
         record.hasStoredBody = true;
-        m_parts.claims.settle(*progress.claim, std::move(record));
+        m_deps.claims.recordOutcome(*progress.claim, std::move(record));
     }
-    m_parts.metrics.countAnswer(reply.status, since(call.received));
+    m_deps.metrics.countAnswer(reply.status, elapsedSince(call.received));
     return reply;
 }
 
 Reply Dispatcher::refuse(const Call &call, Progress &progress, Refusal refusal)
 {
-    if (progress.wasSent && refusal.execution == ExecutionStatus::NotExecuted)
+    if (progress.hasUnknownOutcome && refusal.execution == ExecutionStatus::NotExecuted)
         refusal.execution = ExecutionStatus::Unknown;
     if (progress.claim) {
         ClaimRecord record = progress.claim->record;
         record.state = refusal.execution == ExecutionStatus::NotExecuted ? ClaimState::Released
                                                                          : ClaimState::Unknown;
-        m_parts.claims.settle(*progress.claim, std::move(record));
+        m_deps.claims.recordOutcome(*progress.claim, std::move(record));
     }
     progress.steps.push_back("refused " + std::string(nameOf(refusal.reason)));
-    m_parts.metrics.countRefusal(refusal.reason);
-    m_parts.metrics.countAnswer(statusOf(refusal.reason), since(call.received));
+    m_deps.metrics.countRefusal(refusal.reason);
+    m_deps.metrics.countAnswer(statusOf(refusal.reason), elapsedSince(call.received));
     return problemReply(refusal);
 }
 
-bool Dispatcher::tryRetry()
+bool Dispatcher::acquireRetry()
 {
     const std::lock_guard lock(m_budgetMutex);
     return m_budget.tryAcquire(timeNow());
--- a/src/http/dispatcher.h
+++ b/src/http/dispatcher.h
@@ -20,8 +20,8 @@
 
 class Metrics;
 
-/// Internal: the parts of the entry host that a Dispatcher works with.
-struct DispatcherParts
+/// Internal: what a Dispatcher uses. The references must outlive it.
+struct DispatcherDependencies
 {
     RouteTable &routes;
     UpstreamClient &upstreams;
@@ -29,31 +29,37 @@
     const ViewLease &view;
     Metrics &metrics;
     RequestTraces &traces;
-    int retryPercent = 10; ///< Highest share of retries in first tries, in percent.
+    int retryPercent = 10; ///< Retry budget, in percent of the first attempts.
 };
 
-/// Internal: takes a checked call to its one final reply: claim, slot, attempt, retry, refusal.
+/// Internal: routes a call to an upstream and returns its one final reply. Acquires a slot and, for
+/// an unrepeatable call, a claim; sends the call; retries within the deadline and the retry budget;
+/// refuses otherwise.
 class Dispatcher
 {
 public:
-    explicit Dispatcher(DispatcherParts parts);
+    explicit Dispatcher(DispatcherDependencies dependencies);
 
+    /// Completes with the upstream's response, a replayed response or a refusal. Records the
+    /// outcome in the claim, the metrics and the request's trace.
     boost::asio::awaitable<Reply> dispatch(Call call);
 
 private:
     struct Progress;
 
+    // Functions that return an optional reply return nothing if another attempt is to follow.
     boost::asio::awaitable<std::optional<Reply>> attempt(Call &call, Progress &progress);
-    boost::asio::awaitable<std::optional<Reply>> claimFor(Call &call, Progress &progress);
-    std::optional<Reply> judge(Call &call, Progress &progress, const Endpoint &endpoint,
-                               UpstreamOutcome outcome);
+    /// Returns nothing if the claim was acquired.
+    boost::asio::awaitable<std::optional<Reply>> acquireClaim(Call &call, Progress &progress);
+    std::optional<Reply> handleOutcome(Call &call, Progress &progress, const Endpoint &endpoint,
+                                       UpstreamOutcome outcome);
     std::optional<Reply> retryOrRefuse(const Call &call, Progress &progress, RetryReason retry,
                                        const Refusal &refusal);
-    Reply answer(const Call &call, Progress &progress, Reply reply);
+    Reply forwardResponse(const Call &call, Progress &progress, Reply reply);
     Reply refuse(const Call &call, Progress &progress, Refusal refusal);
-    bool tryRetry();
+    bool acquireRetry();
 
-    DispatcherParts m_parts;
+    DispatcherDependencies m_deps;
     std::mutex m_budgetMutex;
     RetryBudget m_budget;
 };
--- a/src/http/routetable.cpp
+++ b/src/http/routetable.cpp
@@ -11,14 +11,15 @@
 namespace {
 
 std::vector<Endpoint> endpointsOf(const FleetState &state, const ServiceRule &rule,
-                                  InstanceState wanted)
+                                  InstanceState instanceState)
 {
     std::vector<Endpoint> endpoints;
     for (const HostId host : state.hostsOf(rule.pool)) {
         const HostRecord &record = *state.record(host);
         const HostSpec *spec = state.spec(host);
         const InstanceRecord *instance = record.instanceOf(rule.id);
-        if (record.state != HostState::Serving || !spec || !instance || instance->state != wanted)
+        if (record.state != HostState::Serving || !spec || !instance
+            || instance->state != instanceState)
             continue;
         endpoints.push_back({host, spec->zone, record.epoch, spec->address, rule.port});
     }
@@ -31,26 +32,27 @@
 {
     const Instant now = std::chrono::steady_clock::now();
     if (pools.empty())
-        removeUnknown(state.config());
+        removeObsoleteServices(state.config());
     for (const auto &[id, rule] : state.config().services) {
         if (!pools.empty() && !pools.contains(rule.pool))
             continue;
         const ServicePtr service = findOrAdd(rule);
         const std::lock_guard lock(service->mutex);
         service->router.setRule(rule);
-        deliver(*service,
-                service->router.setEndpoints(endpointsOf(state, rule, InstanceState::Ready), now,
-                                             endpointsOf(state, rule, InstanceState::Starting)));
+        deliverGrants(
+            *service,
+            service->router.setEndpoints(endpointsOf(state, rule, InstanceState::Ready), now,
+                                         endpointsOf(state, rule, InstanceState::Starting)));
     }
 }
 
-void RouteTable::setEntryHosts(int entryHosts)
+void RouteTable::setEntryHostCount(int entryHostCount)
 {
     const std::unique_lock lock(m_mutex);
-    m_settings.entryHostCount = entryHosts;
+    m_settings.entryHostCount = entryHostCount;
     for (const auto &[name, service] : m_services) {
         const std::lock_guard serviceLock(service->mutex);
-        service->router.setEntryHostCount(entryHosts);
+        service->router.setEntryHostCount(entryHostCount);
     }
 }
 
@@ -72,7 +74,7 @@
     const auto executor = co_await boost::asio::this_coro::executor;
     std::shared_ptr<OneShot<Endpoint>> waiter;
     WaiterId id;
-    Instant latest = request.deadline;
+    Instant waitDeadline = request.deadline;
     {
         const std::lock_guard lock(found->mutex);
         const Admission admission = found->router.admit(request, std::chrono::steady_clock::now());
@@ -81,11 +83,11 @@
         if (const auto *grant = std::get_if<SlotGrant>(&admission))
             co_return grant->endpoint;
         id = std::get<Waiting>(admission).id;
-        latest -= found->router.expectedLatency();
+        waitDeadline -= found->router.expectedLatency();
         waiter = std::make_shared<OneShot<Endpoint>>(executor);
         found->waiters.emplace(id, waiter);
     }
-    const std::optional<Endpoint> granted = co_await waiter->wait(latest);
+    const std::optional<Endpoint> granted = co_await waiter->wait(waitDeadline);
     if (granted)
         co_return *granted;
     const std::lock_guard lock(found->mutex);
@@ -104,14 +106,14 @@
 }
 
 void RouteTable::release(const std::string &service, const Endpoint &endpoint, AttemptResult result,
-                         Millis took)
+                         Millis duration)
 {
     const ServicePtr found = find(service);
     if (!found)
         return;
     const std::lock_guard lock(found->mutex);
     const Instant now = std::chrono::steady_clock::now();
-    deliver(*found, found->router.releaseSlot(endpoint, result, took, now));
+    deliverGrants(*found, found->router.releaseSlot(endpoint, result, duration, now));
 }
 
 bool RouteTable::isCurrent(const std::string &service, const Endpoint &endpoint) const
@@ -135,16 +137,16 @@
     return total;
 }
 
-int RouteTable::connectionShare() const
+int RouteTable::maxConnectionsPerUpstream() const
 {
     const std::shared_lock lock(m_mutex);
-    std::optional<int> fewest;
+    std::optional<int> lowest;
     for (const auto &[name, service] : m_services) {
         const std::lock_guard serviceLock(service->mutex);
         const int connections = service->router.rule().connections;
-        fewest = std::min(fewest.value_or(connections), connections);
+        lowest = std::min(lowest.value_or(connections), connections);
     }
-    return std::max(fewest.value_or(1) / std::max(m_settings.entryHostCount, 1), 1);
+    return std::max(lowest.value_or(1) / std::max(m_settings.entryHostCount, 1), 1);
 }
 
 int RouteTable::upstreamCount() const
@@ -174,7 +176,7 @@
     return service;
 }
 
-void RouteTable::removeUnknown(const Register &config)
+void RouteTable::removeObsoleteServices(const Register &config)
 {
     const std::unique_lock lock(m_mutex);
     std::erase_if(m_services, [&config](const auto &item) {
@@ -182,23 +184,24 @@
     });
 }
 
-void RouteTable::deliver(Service &service, const std::vector<SlotGrant> &grants)
+void RouteTable::deliverGrants(Service &service, const std::vector<SlotGrant> &grants)
 {
-    std::vector<SlotGrant> pending = grants;
-    while (!pending.empty()) {
-        const SlotGrant grant = pending.back();
-        pending.pop_back();
+    std::vector<SlotGrant> undelivered = grants;
+    while (!undelivered.empty()) {
+        const SlotGrant grant = undelivered.back();
+        undelivered.pop_back();
         const auto waiter = service.waiters.find(grant.waiter);
-        const bool isTaken = waiter != service.waiters.end() && waiter->second->set(grant.endpoint);
+        const bool isDelivered = waiter != service.waiters.end()
+            && waiter->second->set(grant.endpoint);
         if (waiter != service.waiters.end())
             service.waiters.erase(waiter);
-        if (isTaken)
+        if (isDelivered)
             continue;
-        // The waiter gave up in the meantime, so its slot goes to the next one.
+        // The waiter has timed out in the meantime, so its slot is granted to the next one.
         const Instant now = std::chrono::steady_clock::now();
         const auto more = service.router.releaseSlot(grant.endpoint, AttemptResult::NotAttempted,
                                                      Millis(0), now);
-        pending.insert(pending.end(), more.begin(), more.end());
+        undelivered.insert(undelivered.end(), more.begin(), more.end());
     }
 }
 
--- a/src/platform/dynamotable.cpp
+++ b/src/platform/dynamotable.cpp
@@ -92,7 +92,7 @@
     return item;
 }
 
-[[noreturn]] void throwTransactionError(const HttpAnswer &response)
+[[noreturn]] void throwTransactionError(const HttpResult &response)
 {
     const value json = value::parse(response.body);
     std::vector<std::size_t> failed;
@@ -135,7 +135,7 @@
     for (std::size_t index = 0; index < writes.size(); ++index)
         items[index][std::string(actionName(writes[index].kind))] = actionBody(writes[index]);
     body["TransactItems"] = items;
-    const HttpAnswer response = callPlatform(
+    const HttpResult response = callPlatform(
         makeCall(m_address, "TransactWriteItems", body, m_timeout));
     if (response.status == kOk)
         return;
--- a/src/platform/httpcall.cpp
+++ b/src/platform/httpcall.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-HttpAnswer callWithClient(const std::unique_ptr<http_client> &client, const HttpCall &call)
+HttpResult callWithClient(const std::unique_ptr<http_client> &client, const HttpCall &call)
 {
     try {
         web::http::http_request request(call.method);
@@ -60,13 +60,13 @@
 
 } // namespace
 
-void requireOk(const HttpAnswer &response, const std::string &url)
+void requireOk(const HttpResult &response, const std::string &url)
 {
     if (response.status != kOk)
         throw PlatformUnavailable(url + ": status " + std::to_string(response.status));
 }
 
-HttpAnswer callPlatform(const HttpCall &call)
+HttpResult callPlatform(const HttpCall &call)
 {
     return callWithClient(clientFor(call), call);
 }
@@ -78,7 +78,7 @@
     try {
         if (!client)
             client = clientFor(call);
-        HttpAnswer response = callWithClient(client, call);
+        HttpResult response = callWithClient(client, call);
         requireOk(response, call.url);
         return std::move(response.body);
     } catch (const OutcomeUnknown &error) {
--- a/src/platform/httpcall.h
+++ b/src/platform/httpcall.h
@@ -19,18 +19,18 @@
 };
 
 /// Internal: the response to an HttpCall.
-struct HttpAnswer
+struct HttpResult
 {
     int status = 0;
     std::string body;
 };
 
 /// Internal: throws PlatformUnavailable unless `response`, which `url` returned, has status 200.
-void requireOk(const HttpAnswer &response, const std::string &url);
+void requireOk(const HttpResult &response, const std::string &url);
 
 /// Internal: sends the request once, on a new connection. Throws PlatformUnavailable when nothing
 /// was sent and OutcomeUnknown when some or all of the request may have been sent.
-HttpAnswer callPlatform(const HttpCall &call);
+HttpResult callPlatform(const HttpCall &call);
 
 /// Internal: sends a request without side effects and returns the response body. The request may be
 /// sent twice, and an unknown outcome is reported as a failure. Connections are kept per thread and
--- a/src/platform/workerclient.cpp
+++ b/src/platform/workerclient.cpp
@@ -60,7 +60,7 @@
 void WorkerClient::send(const WorkerCommand &command, const std::string &body)
 {
     const bool isReboot = command.kind == WorkerCommand::Kind::Reboot;
-    const HttpAnswer response = callPlatform(
+    const HttpResult response = callPlatform(
         {.method = isReboot ? "POST" : "PUT",
          .url = urlOf(command.host) + (isReboot ? "/reboot" : "/tasks"),
          .headers = {},
--- a/tests/support/fakeupstream.h
+++ b/tests/support/fakeupstream.h
@@ -10,13 +10,15 @@
 
 namespace oleanderhall::test {
 
-/// A FakeUpstream accepts connections one after another on loopback, reads one request from each
-/// (or more, as the script says) and does with the socket what the script says.
+/// An upstream on a loopback port of its own. Serves one connection at a time: reads a request up
+/// to the end of its header, calls the script and reads the next one if the script returns true.
+/// Otherwise it closes the connection.
 class FakeUpstream
 {
 public:
     using Socket = boost::asio::ip::tcp::socket;
-    /// Gets the socket, the request's text and the number of the request, from 1.
+    /// Answers one request. Receives the socket, the request's text and its number, counted from 1
+    /// over all connections. Returns whether the connection stays open.
     using Script = std::function<bool(Socket &, const std::string &, int)>;
 
     explicit FakeUpstream(Script script)
@@ -30,8 +32,8 @@
         boost::system::error_code ignored;
         {
             const std::lock_guard lock(m_mutex);
-            if (m_current)
-                m_current->shutdown(Socket::shutdown_both, ignored);
+            if (m_currentSocket)
+                m_currentSocket->shutdown(Socket::shutdown_both, ignored);
         }
         Socket wake(m_io);
         wake.connect(m_acceptor.local_endpoint(), ignored);
@@ -41,15 +43,16 @@
     FakeUpstream &operator=(const FakeUpstream &) = delete;
 
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
-    int requests() const { return m_requests; }
-    int connections() const { return m_connections; }
+    int requestCount() const { return m_requestCount; }
+    int connectionCount() const { return m_connectionCount; }
 
     static void send(Socket &socket, const std::string &text)
     {
         boost::system::error_code ignored;
         boost::asio::write(socket, boost::asio::buffer(text), ignored);
     }
-    static std::string answer(const std::string &body)
+    /// Returns a response with status 200.
+    static std::string okResponse(const std::string &body)
     {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
             + body;
@@ -64,35 +67,35 @@
             m_acceptor.accept(socket, failed);
             if (failed || m_isStopping)
                 return;
-            ++m_connections;
-            setCurrent(&socket);
-            bool goesOn = true;
-            while (goesOn) {
+            ++m_connectionCount;
+            setCurrentSocket(&socket);
+            bool staysOpen = true;
+            while (staysOpen) {
                 std::string text;
                 boost::asio::read_until(socket, boost::asio::dynamic_buffer(text), "\r\n\r\n",
                                         failed);
                 if (failed)
                     break;
-                goesOn = m_script(socket, text, ++m_requests);
+                staysOpen = m_script(socket, text, ++m_requestCount);
             }
-            setCurrent(nullptr);
+            setCurrentSocket(nullptr);
         }
     }
 
-    void setCurrent(Socket *socket)
+    void setCurrentSocket(Socket *socket)
     {
         const std::lock_guard lock(m_mutex);
-        m_current = socket;
+        m_currentSocket = socket;
     }
 
     Script m_script;
     std::mutex m_mutex;
-    Socket *m_current = nullptr;
+    Socket *m_currentSocket = nullptr;
     boost::asio::io_context m_io;
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::atomic<bool> m_isStopping{false};
-    std::atomic<int> m_requests{0};
-    std::atomic<int> m_connections{0};
+    std::atomic<int> m_requestCount{0};
+    std::atomic<int> m_connectionCount{0};
     std::thread m_thread;
 };
 
