--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -17,15 +17,15 @@
 
 constexpr std::size_t kMaxRecentEntries = 1024;
 constexpr std::size_t kEntriesPerRead = 200;
-constexpr int kMaxCommitTries = 20;
+constexpr int kMaxCommitAttempts = 20;
 constexpr int kMaxHeadReads = 3;
 constexpr int kWatcherThreads = 2;
-constexpr Millis kMemberLapse{8000};
-constexpr Millis kMemberLapsePerMember{210}; // three heartbeats and a read
-constexpr Millis kIdleTick{1000}; // still four reads of the head within the time to adopt
-constexpr Millis kBusyAfterChange{3000};
+constexpr Millis kMemberExpiry{8000};
+constexpr Millis kMemberExpiryPerMember{210}; // three heartbeats and a read
+constexpr Millis kIdleStepPeriod{1000}; // still four reads of the head within the time to adopt
+constexpr Millis kActiveTime{3000};
 
-std::set<PoolId> poolsTouched(const FleetState &before, const LogEntry &entry)
+std::set<PoolId> affectedPools(const FleetState &before, const LogEntry &entry)
 {
     std::set<PoolId> pools;
     for (const Change &change : entry.changes) {
@@ -42,7 +42,7 @@
     return pools;
 }
 
-bool acceptsConfig(const LogEntry &entry)
+bool changesConfig(const LogEntry &entry)
 {
     return std::any_of(entry.changes.begin(), entry.changes.end(), [](const Change &change) {
         return std::holds_alternative<ConfigChange>(change);
@@ -64,11 +64,11 @@
     : m_settings(settings)
     , m_table(table)
     , m_store(settings.objectsUrl, settings.platformTimeout)
-    , m_log(m_table, m_store)
+    , m_changeLog(m_table, m_store)
     , m_routes(routes)
     , m_lease(lease)
     , m_metrics(metrics)
-    , m_members(kMemberLapse, kMemberLapsePerMember)
+    , m_members(kMemberExpiry, kMemberExpiryPerMember)
     , m_watcher(
           WorkerClient(settings.workersUrl, settings.platformTimeout),
           [this] {
@@ -78,10 +78,10 @@
           kWatcherThreads)
     , m_random(std::random_device{}())
 {
-    m_row = {.id = settings.id,
-             .zone = settings.zone,
-             .peerAddress = settings.advertised.text(),
-             .incarnation = std::to_string(m_random()) + "-" + std::to_string(m_random())};
+    m_memberRow = {.id = settings.id,
+                   .zone = settings.zone,
+                   .peerAddress = settings.advertised.text(),
+                   .incarnation = std::to_string(m_random()) + "-" + std::to_string(m_random())};
 }
 
 Controller::~Controller()
@@ -102,14 +102,14 @@
 void Controller::stop()
 {
     m_isStopping = true;
-    m_sleep.wake();
+    m_wakeup.wake();
     if (!m_thread.joinable())
         return;
     m_thread.join();
     try {
         m_table.transact(
             {{.kind = TableWrite::Kind::Delete, .key = {kMemberPartition, m_settings.id.name()}}},
-            newOperation());
+            newOperationId());
     } catch (const std::exception &error) {
         logWarning("heartbeat_row_not_removed", {{"error", error.what()}});
     }
@@ -127,9 +127,9 @@
     const std::shared_lock lock(m_stateMutex);
     if (sequence >= m_state.sequence())
         return true;
-    if (m_recent.empty() || m_recent.front().first > sequence.next())
+    if (m_recentEntries.empty() || m_recentEntries.front().first > sequence.next())
         return false;
-    for (const auto &[entrySequence, text] : m_recent) {
+    for (const auto &[entrySequence, text] : m_recentEntries) {
         if (entrySequence > sequence && out.size() < limit)
             out.push_back(text);
     }
@@ -143,10 +143,10 @@
 
 std::optional<Sequence> Controller::commit(const Proposer &propose)
 {
-    m_sleep.wake();
+    m_wakeup.wake();
     const std::lock_guard lock(m_stepMutex);
     bool isUnknown = false;
-    for (int tries = 0; tries < kMaxCommitTries; ++tries) {
+    for (int attempt = 0; attempt < kMaxCommitAttempts; ++attempt) {
         if (!refreshFromTable())
             throw PlatformUnavailable("the platform's table can't be read; nothing was changed");
         std::optional<LogEntry> entry = propose(m_state);
@@ -170,18 +170,18 @@
     return m_members.live(timeNow());
 }
 
-std::map<HostId, std::string> Controller::waiting() const
+std::map<HostId, std::string> Controller::waitReasons() const
 {
     const std::shared_lock lock(m_stateMutex);
-    return m_waiting;
+    return m_waitReasons;
 }
 
-std::vector<std::string> Controller::historyOf(const std::string &name) const
+std::vector<std::string> Controller::recentEntriesFor(const std::string &name) const
 {
     const std::shared_lock lock(m_stateMutex);
     const std::string quoted = "\"" + name + "\"";
     std::vector<std::string> result;
-    for (const auto &[sequence, text] : m_recent) {
+    for (const auto &[sequence, text] : m_recentEntries) {
         if (text.find(quoted) != std::string::npos)
             result.push_back(text);
     }
@@ -191,7 +191,7 @@
 void Controller::run()
 {
     while (!m_isStopping) {
-        const Instant started = timeNow();
+        const Instant startTime = timeNow();
         try {
             const std::lock_guard lock(m_stepMutex);
             step();
@@ -199,9 +199,10 @@
             m_metrics.count("control_steps_failed_total");
             logWarning("control_step_failed", {{"error", error.what()}});
         }
-        const bool isBusy = timeNow() - m_lastActivity.load() < kBusyAfterChange;
-        const Millis period = isBusy ? m_settings.tick : std::max(m_settings.tick, kIdleTick);
-        m_sleep.sleepUntil(started + period);
+        const bool isActive = timeNow() - m_lastActivity.load() < kActiveTime;
+        const Millis period = isActive ? m_settings.tick
+                                       : std::max(m_settings.tick, kIdleStepPeriod);
+        m_wakeup.sleepUntil(startTime + period);
     }
 }
 
@@ -224,9 +225,9 @@
 bool Controller::refreshFromTable()
 {
     try {
-        for (int tries = 0; tries < kMaxHeadReads; ++tries) {
+        for (int attempt = 0; attempt < kMaxHeadReads; ++attempt) {
             const Instant readStarted = timeNow();
-            const LogHead head = m_log.readHead();
+            const LogHead head = m_changeLog.readHead();
             if (head.sequence < m_state.sequence()) {
                 m_metrics.count("stale_heads_total");
                 return false;
@@ -250,9 +251,9 @@
 void Controller::catchUp(Sequence target)
 {
     if (!m_hasView || target.value > m_state.sequence().value + kMaxRecentEntries)
-        adopt(m_log.load());
+        replaceState(m_changeLog.load());
     while (m_state.sequence() < target) {
-        const auto entries = m_log.readAfter(m_state.sequence(), kEntriesPerRead);
+        const auto entries = m_changeLog.readAfter(m_state.sequence(), kEntriesPerRead);
         for (const LogEntry &entry : entries) {
             if (!applyEntry(entry))
                 return;
@@ -271,18 +272,18 @@
     const std::string &address = addresses[pick(m_random)];
     try {
         PeerClient client(address, m_settings.platformTimeout);
-        const Instant asked = timeNow();
-        PeerEntries answer = client.pull(m_state.sequence());
-        if (!m_hasView || answer.needsSnapshot) {
+        const Instant requestedAt = timeNow();
+        PeerEntries pullResult = client.pull(m_state.sequence());
+        if (!m_hasView || pullResult.needsSnapshot) {
             PeerSnapshot snapshot = client.snapshot();
             if (snapshot.state.sequence() > m_state.sequence() || !m_hasView)
-                adopt(std::move(snapshot.state));
-            answer.viewAge = std::max(answer.viewAge, snapshot.viewAge);
+                replaceState(std::move(snapshot.state));
+            pullResult.viewAge = std::max(pullResult.viewAge, snapshot.viewAge);
         }
-        for (const LogEntry &entry : answer.entries)
+        for (const LogEntry &entry : pullResult.entries)
             applyEntry(entry);
-        if (m_state.sequence() >= answer.sequence)
-            m_lease.renew(asked - answer.viewAge);
+        if (m_state.sequence() >= pullResult.sequence)
+            m_lease.renew(requestedAt - pullResult.viewAge);
         m_metrics.count("peer_pulls_total");
     } catch (const std::exception &error) {
         m_metrics.count("peer_pulls_failed_total");
@@ -290,12 +291,12 @@
     }
 }
 
-void Controller::adopt(FleetState state)
+void Controller::replaceState(FleetState state)
 {
     {
         const std::unique_lock lock(m_stateMutex);
         m_state = std::move(state);
-        m_recent.clear();
+        m_recentEntries.clear();
     }
     m_routes.refresh(m_state, {});
     m_hasView = true;
@@ -306,19 +307,19 @@
 
 bool Controller::applyEntry(const LogEntry &entry)
 {
-    const bool hasNewConfig = acceptsConfig(entry);
-    std::set<PoolId> pools = poolsTouched(m_state, entry);
+    const bool hasNewConfig = changesConfig(entry);
+    std::set<PoolId> pools = affectedPools(m_state, entry);
     {
         const std::unique_lock lock(m_stateMutex);
         if (!m_state.apply(entry))
             return false;
         if (startsDrain(entry)) {
-            m_latestDrain = entry.sequence;
+            m_latestDrainSequence = entry.sequence;
             m_lastActivity = timeNow();
         }
-        m_recent.emplace_back(entry.sequence, toJson(entry).serialize());
-        if (m_recent.size() > kMaxRecentEntries)
-            m_recent.pop_front();
+        m_recentEntries.emplace_back(entry.sequence, toJson(entry).serialize());
+        if (m_recentEntries.size() > kMaxRecentEntries)
+            m_recentEntries.pop_front();
     }
     if (hasNewConfig)
         m_routes.refresh(m_state, {});
@@ -335,26 +336,27 @@
 {
     entry.sequence = m_state.sequence().next();
     entry.actor = m_settings.id;
-    entry.operation = newOperation();
+    entry.operation = newOperationId();
     if (m_head.sequence != m_state.sequence())
         return AppendOutcome::Conflict;
-    Register after;
-    if (acceptsConfig(entry)) {
-        after = m_state.config();
+    Register configAfter;
+    if (changesConfig(entry)) {
+        configAfter = m_state.config();
         for (const Change &change : entry.changes) {
             if (const auto *config = std::get_if<ConfigChange>(&change))
-                applyPatch(after, config->patch);
+                applyPatch(configAfter, config->patch);
         }
     }
-    const AppendOutcome outcome = m_log.append(entry, after, m_head);
+    const AppendOutcome outcome = m_changeLog.append(entry, configAfter, m_head);
     if (outcome == AppendOutcome::Committed)
         applyEntry(entry);
     return outcome;
 }
 
-std::string Controller::newOperation()
+std::string Controller::newOperationId()
 {
-    return m_settings.id.name() + "-" + m_row.incarnation + "-" + std::to_string(++m_lastOperation);
+    return m_settings.id.name() + "-" + m_memberRow.incarnation + "-"
+        + std::to_string(++m_lastOperationNumber);
 }
 
 } // namespace oleanderhall
--- a/src/daemon/controller.h
+++ b/src/daemon/controller.h
@@ -65,9 +65,9 @@
 
     std::vector<MemberRow> members() const;
     /// Returns why hosts wait, as the last plans of the owned pools said.
-    std::map<HostId, std::string> waiting() const;
+    std::map<HostId, std::string> waitReasons() const;
     /// Returns the entries held in memory that concern `host`, as JSON texts, oldest first.
-    std::vector<std::string> historyOf(const std::string &name) const;
+    std::vector<std::string> recentEntriesFor(const std::string &name) const;
 
 private:
     void run();
@@ -75,17 +75,17 @@
     bool refreshFromTable();
     void catchUp(Sequence target);
     void refreshFromPeer();
-    void adopt(FleetState state);
+    void replaceState(FleetState state);
     bool applyEntry(const LogEntry &entry);
     void heartbeat(Instant now);
     void readMembers(Instant now);
     void readHostList(Instant now);
     void removeDeadMembers(Instant now);
     void decide(Instant now);
-    bool decideFor(PoolPlanner &planner, const Observations &seen, Instant now);
+    bool decideFor(PoolPlanner &planner, const Observations &observations, Instant now);
     void watchHosts(const std::vector<PoolId> &pools);
     AppendOutcome append(LogEntry entry);
-    std::string newOperation();
+    std::string newOperationId();
     static Instant timeNow() { return std::chrono::steady_clock::now(); }
     std::vector<std::string> peerAddresses() const;
 
@@ -94,7 +94,7 @@
     const Settings &m_settings;
     DynamoTable &m_table;
     HttpObjectStore m_store;
-    ChangeLog<DynamoTable, HttpObjectStore> m_log;
+    ChangeLog<DynamoTable, HttpObjectStore> m_changeLog;
     RouteTable &m_routes;
     ViewLease &m_lease;
     Metrics &m_metrics;
@@ -102,25 +102,25 @@
     std::mutex m_stepMutex;
     mutable std::shared_mutex m_stateMutex;
     FleetState m_state;
-    std::deque<std::pair<Sequence, std::string>> m_recent;
+    std::deque<std::pair<Sequence, std::string>> m_recentEntries;
     MemberTable m_members;
-    std::map<HostId, std::string> m_waiting;
+    std::map<HostId, std::string> m_waitReasons;
     LogHead m_head;
 
     HostWatcher m_watcher;
     std::map<PoolId, PoolPlanner> m_planners;
-    MemberRow m_row;
+    MemberRow m_memberRow;
     HostList m_hostList;
     bool m_hasHostList = false;
-    Sequence m_latestDrain; ///< The newest entry that drains a host.
+    Sequence m_latestDrainSequence; ///< The newest entry that drains a host.
     bool m_awaitsAcknowledgements = false; ///< A host of an owned pool drains.
     std::atomic<Instant> m_lastActivity{Instant{}}; ///< Also written by operators' changes.
-    Wakeup m_sleep;
+    Wakeup m_wakeup;
     Instant m_nextHeartbeat;
     Instant m_nextMemberRead;
-    Instant m_nextHostList;
+    Instant m_nextHostListRead;
     std::mt19937 m_random;
-    std::uint64_t m_lastOperation = 0;
+    std::uint64_t m_lastOperationNumber = 0;
     std::atomic<bool> m_hasView{false};
     std::atomic<bool> m_isLeaving{false};
     std::atomic<bool> m_isStopping{false};
--- a/src/daemon/controllerdecisions.cpp
+++ b/src/daemon/controllerdecisions.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Millis kOldestDecision{1000};
+constexpr Millis kMaxDecisionAge{1000};
 
 } // namespace
 
@@ -33,33 +33,33 @@
     std::erase_if(m_planners, [&owned](const auto &item) {
         return std::find(owned.begin(), owned.end(), item.first) == owned.end();
     });
-    Observations seen{.hosts = m_watcher.observations(now),
-                      .entryHosts = m_members.observations(now),
-                      .entryHostsObservedAt = m_members.seenAt()};
+    Observations observations{.hosts = m_watcher.observations(now),
+                              .entryHosts = m_members.observations(now),
+                              .entryHostsObservedAt = m_members.seenAt()};
     {
         const std::unique_lock lock(m_stateMutex);
-        m_waiting.clear();
+        m_waitReasons.clear();
     }
     for (const PoolId pool : owned) {
         PoolPlanner &planner = m_planners.try_emplace(pool, pool, PlannerSettings{}).first->second;
-        if (!decideFor(planner, seen, now))
+        if (!decideFor(planner, observations, now))
             return;
     }
 }
 
-bool Controller::decideFor(PoolPlanner &planner, const Observations &seen, Instant now)
+bool Controller::decideFor(PoolPlanner &planner, const Observations &observations, Instant now)
 {
-    PoolPlan plan = planner.decide(m_state, seen, now);
+    PoolPlan plan = planner.decide(m_state, observations, now);
     for (const WorkerCommand &command : plan.commands)
         m_watcher.send(command, WorkerClient::bodyOf(command, m_state.config()));
     {
         const std::unique_lock lock(m_stateMutex);
-        m_waiting.insert(plan.waitReasons.begin(), plan.waitReasons.end());
+        m_waitReasons.insert(plan.waitReasons.begin(), plan.waitReasons.end());
     }
     if (plan.changes.empty())
         return true;
     // What was seen may no longer hold when this process was paused since.
-    if (timeNow() - now > kOldestDecision) {
+    if (timeNow() - now > kMaxDecisionAge) {
         m_metrics.count("old_decisions_dropped_total");
         return false;
     }
--- a/src/daemon/controllermembers.cpp
+++ b/src/daemon/controllermembers.cpp
@@ -12,33 +12,33 @@
 
 namespace {
 
-constexpr Millis kShortestHeartbeat{2000};
-constexpr Millis kHeartbeatPerMember{20}; // keeps the table's writes below 50 a second
-constexpr Millis kShortestMemberRead{2000};
-constexpr Millis kMemberReadPerMember{150}; // keeps the bytes of a read below 2 KB a second
-constexpr Millis kAwaitingMemberReadPerMember{30};
+constexpr Millis kMinHeartbeatPeriod{2000};
+constexpr Millis kHeartbeatPeriodPerMember{20}; // keeps the table's writes below 50 a second
+constexpr Millis kMinMemberReadPeriod{2000};
+constexpr Millis kMemberReadPeriodPerMember{150}; // keeps the bytes of a read below 2 KB a second
+constexpr Millis kDrainingReadPeriodPerMember{30};
 constexpr Millis kHostListPeriod{5000};
-constexpr Millis kMemberSilence{15000};
+constexpr Millis kMinSilenceBeforeRemoval{15000};
 
 } // namespace
 
 void Controller::heartbeat(Instant now)
 {
     // Those who drain a host wait until everyone has seen it, so that is said at once.
-    const bool owesAcknowledgement = m_row.acknowledged < m_latestDrain;
-    if (now < m_nextHeartbeat && !owesAcknowledgement)
+    const bool hasUnacknowledgedDrain = m_memberRow.acknowledged < m_latestDrainSequence;
+    if (now < m_nextHeartbeat && !hasUnacknowledgedDrain)
         return;
     const auto members = static_cast<Millis::rep>(m_members.size());
-    m_nextHeartbeat = now + std::max(kShortestHeartbeat, kHeartbeatPerMember * members);
-    ++m_row.beat;
-    m_row.acknowledged = m_state.sequence();
-    m_row.config = m_state.configVersion();
-    m_row.leaving = m_isLeaving;
+    m_nextHeartbeat = now + std::max(kMinHeartbeatPeriod, kHeartbeatPeriodPerMember * members);
+    ++m_memberRow.beat;
+    m_memberRow.acknowledged = m_state.sequence();
+    m_memberRow.config = m_state.configVersion();
+    m_memberRow.leaving = m_isLeaving;
     try {
         m_table.transact({{.key = {kMemberPartition, m_settings.id.name()},
-                           .version = m_row.beat,
-                           .data = encodeMember(m_row)}},
-                         newOperation());
+                           .version = m_memberRow.beat,
+                           .data = encodeMember(m_memberRow)}},
+                         newOperationId());
     } catch (const std::exception &) {
         m_metrics.count("heartbeats_failed_total");
     }
@@ -51,9 +51,9 @@
     const auto members = static_cast<Millis::rep>(m_members.size());
     m_nextMemberRead = now
         + (m_awaitsAcknowledgements
-               ? kAwaitingMemberReadPerMember * members
-               : std::max(kShortestMemberRead, kMemberReadPerMember * members));
-    const Sequence seenAt = m_state.sequence();
+               ? kDrainingReadPeriodPerMember * members
+               : std::max(kMinMemberReadPeriod, kMemberReadPeriodPerMember * members));
+    const Sequence readAt = m_state.sequence();
     std::vector<MemberRow> rows;
     try {
         std::string after;
@@ -72,7 +72,7 @@
     std::size_t live = 0;
     {
         const std::unique_lock lock(m_stateMutex);
-        m_members.update(rows, seenAt, timeNow());
+        m_members.update(rows, readAt, timeNow());
         live = m_members.live(timeNow()).size();
     }
     m_metrics.gauge("entry_hosts_live", static_cast<double>(live));
@@ -81,9 +81,9 @@
 
 void Controller::readHostList(Instant now)
 {
-    if (now < m_nextHostList)
+    if (now < m_nextHostListRead)
         return;
-    m_nextHostList = now + kHostListPeriod;
+    m_nextHostListRead = now + kHostListPeriod;
     try {
         m_hostList = fetchHostList(m_settings.hostListUrl, m_settings.platformTimeout);
         m_hasHostList = true;
@@ -98,14 +98,14 @@
 {
     if (!m_hasHostList)
         return;
-    for (const EntryId entry : m_members.silentFor(kMemberSilence, now)) {
+    for (const EntryId entry : m_members.silentFor(kMinSilenceBeforeRemoval, now)) {
         // A row is removed only when the platform, too, no longer knows the entry host.
         if (m_hostList.contains(entry.name()) || entry == m_settings.id)
             continue;
         try {
             m_table.transact(
                 {{.kind = TableWrite::Kind::Delete, .key = {kMemberPartition, entry.name()}}},
-                newOperation());
+                newOperationId());
             logInfo("entry_host_removed", {{"removed", entry.name()}});
         } catch (const std::exception &) {
             m_metrics.count("member_removals_failed_total");
--- a/src/daemon/entryhost.cpp
+++ b/src/daemon/entryhost.cpp
@@ -32,8 +32,8 @@
 
 constexpr int kPlatformThreads = 8; // of the HTTP client and the operators' server
 constexpr int kMallocArenas = 2;
-constexpr Millis kHousekeeping{500};
-constexpr int kStoppedHard = 1;
+constexpr Millis kHousekeepingPeriod{500};
+constexpr int kExitRequestsCutOff = 1;
 
 /// Blocks the stop signals in this thread and all that it starts later.
 sigset_t blockStopSignals()
@@ -63,10 +63,10 @@
     limits.bodyBytes = static_cast<std::size_t>(settings.maxBodyBytes);
     limits.bufferedBytes = static_cast<std::size_t>(settings.maxBufferedBytes);
     limits.connections = settings.maxConnections;
-    limits.headerTime = settings.headerTime;
-    limits.bodyTime = settings.bodyTime;
-    limits.idleTime = settings.idleTime;
-    limits.answerTime = settings.answerTime;
+    limits.headerTime = settings.headerTimeout;
+    limits.bodyTime = settings.bodyTimeout;
+    limits.idleTime = settings.idleTimeout;
+    limits.answerTime = settings.responseTimeout;
     return limits;
 }
 
@@ -83,7 +83,7 @@
 public:
     explicit EntryHost(const Settings &settings)
         : m_settings(settings)
-        , m_work(boost::asio::make_work_guard(m_io))
+        , m_workGuard(boost::asio::make_work_guard(m_io))
         , m_table(settings.tableUrl, settings.platformTimeout)
         , m_routes(routerSettingsFrom(settings))
         , m_lease(settings.viewLease)
@@ -128,15 +128,15 @@
                  {"callers", m_settings.callers.text()},
                  {"operators", m_settings.operators.text()},
                  {"peers", m_settings.peers.text()}});
-        while (!waitForStop(signals, kHousekeeping))
-            keepHouse();
+        while (!waitForStop(signals, kHousekeepingPeriod))
+            runHousekeeping();
         return stop(signals);
     }
 
 private:
     bool isReady() const { return m_controller.hasView() && !m_isStopping; }
 
-    void keepHouse()
+    void runHousekeeping()
     {
         m_upstreams.closeIdle(std::chrono::steady_clock::now());
         const auto [inFlight, waiting] = m_routes.load();
@@ -157,22 +157,22 @@
         m_isDraining = true;
         m_callers->drain();
         if (waitForStop(signals, m_settings.stopNotice))
-            return stopHard();
+            return stopImmediately();
         m_callers->stop();
-        const Instant latest = std::chrono::steady_clock::now() + m_settings.stopLimit;
-        while (m_callers->busy() > 0 && std::chrono::steady_clock::now() < latest) {
+        const Instant deadline = std::chrono::steady_clock::now() + m_settings.stopLimit;
+        while (m_callers->busy() > 0 && std::chrono::steady_clock::now() < deadline) {
             if (waitForStop(signals, Millis(20)))
-                return stopHard();
+                return stopImmediately();
         }
         m_controller.stop();
         logInfo("stopped", {{"cutOff", std::to_string(m_callers->busy())}});
-        return m_callers->busy() == 0 ? 0 : kStoppedHard;
+        return m_callers->busy() == 0 ? 0 : kExitRequestsCutOff;
     }
 
-    int stopHard()
+    int stopImmediately()
     {
         logWarning("stopped_by_second_signal", {{"cutOff", std::to_string(m_callers->busy())}});
-        return kStoppedHard;
+        return kExitRequestsCutOff;
     }
 
     PeerSource peerSource()
@@ -187,7 +187,7 @@
 
     const Settings &m_settings;
     boost::asio::io_context m_io;
-    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
+    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_workGuard;
     Metrics m_metrics;
     RequestTraces m_traces;
     DynamoTable m_table;
--- a/src/daemon/hostwatcher.cpp
+++ b/src/daemon/hostwatcher.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr Millis kOftenPeriod{200};
-constexpr Millis kShortestSteadyPeriod{2000};
-constexpr Millis kPollSpacing{500}; // between polls of steady hosts, so that cost has a limit
-constexpr int kPeriodsUntilExpiry = 4;
-constexpr Millis kLongestIdle{100};
-constexpr int kFailuresUntilUnfit = 2;
+constexpr Millis kFrequentPollPeriod{200};
+constexpr Millis kMinSteadyPollPeriod{2000};
+constexpr Millis kSteadyPollPeriodPerHost{
+    500}; // between polls of steady hosts, so that cost has a limit
+constexpr int kPollPeriodsUntilExpiry = 4;
+constexpr Millis kMaxIdleWait{100};
+constexpr int kFailuresUntilUnhealthy = 2;
 
 Instant timeNow()
 {
@@ -42,14 +43,14 @@
 void HostWatcher::watch(const std::map<HostId, bool> &hosts)
 {
     const std::lock_guard lock(m_mutex);
-    std::erase_if(m_watches, [&hosts](const auto &item) {
-        return !hosts.contains(item.first) && !item.second.isBusy;
+    std::erase_if(m_watchedHosts, [&hosts](const auto &item) {
+        return !hosts.contains(item.first) && !item.second.isBeingPolled;
     });
     for (const auto &[host, isOften] : hosts) {
-        Watch &watch = m_watches[host];
-        if (isOften && !watch.isOften)
-            watch.due = timeNow();
-        watch.isOften = isOften;
+        WatchedHost &watch = m_watchedHosts[host];
+        if (isOften && !watch.isPolledOften)
+            watch.nextPoll = timeNow();
+        watch.isPolledOften = isOften;
     }
     m_changed.notify_all();
 }
@@ -57,8 +58,8 @@
 void HostWatcher::send(const WorkerCommand &command, std::string body)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_watches.find(command.host);
-    if (found == m_watches.end())
+    const auto found = m_watchedHosts.find(command.host);
+    if (found == m_watchedHosts.end())
         return;
     found->second.command = command;
     found->second.body = std::move(body);
@@ -67,61 +68,62 @@
 void HostWatcher::setHostList(const HostList &list)
 {
     const std::lock_guard lock(m_mutex);
-    m_list = list;
+    m_hostList = list;
 }
 
 std::map<HostId, HostObservation> HostWatcher::observations(Instant now) const
 {
     const std::lock_guard lock(m_mutex);
     std::map<HostId, HostObservation> result;
-    const Millis expiry = kPeriodsUntilExpiry * steadyPeriod();
-    for (const auto &[host, watch] : m_watches) {
-        HostObservation seen = watch.seen;
-        if (now - watch.seenAt > expiry)
-            seen.health = Health::Unknown;
-        const auto listed = m_list.find(host.name());
-        seen.leaving = listed != m_list.end() && listed->second == ListedState::Leaving;
-        result.emplace(host, seen);
+    const Millis expiry = kPollPeriodsUntilExpiry * steadyPollPeriod();
+    for (const auto &[host, watch] : m_watchedHosts) {
+        HostObservation observation = watch.observation;
+        if (now - watch.observationTime > expiry)
+            observation.health = Health::Unknown;
+        const auto listed = m_hostList.find(host.name());
+        observation.leaving = listed != m_hostList.end() && listed->second == ListedState::Leaving;
+        result.emplace(host, observation);
     }
     return result;
 }
 
-std::uint64_t HostWatcher::polls() const
+std::uint64_t HostWatcher::pollCount() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_polls;
+    return m_pollCount;
 }
 
 void HostWatcher::run()
 {
     for (;;) {
-        const std::optional<Job> job = takeJob();
+        const std::optional<PollTask> job = takePollTask();
         if (!job)
             return;
-        perform(*job);
+        execute(*job);
     }
 }
 
-std::optional<HostWatcher::Job> HostWatcher::takeJob()
+std::optional<HostWatcher::PollTask> HostWatcher::takePollTask()
 {
     std::unique_lock lock(m_mutex);
     for (;;) {
         if (m_isStopping)
             return std::nullopt;
         const Instant now = timeNow();
-        for (auto &[host, watch] : m_watches) {
-            if (watch.isBusy || watch.due > now)
+        for (auto &[host, watch] : m_watchedHosts) {
+            if (watch.isBeingPolled || watch.nextPoll > now)
                 continue;
-            watch.isBusy = true;
-            watch.due = now + (watch.isOften ? kOftenPeriod : steadyPeriod());
-            ++m_polls;
-            return Job{host, std::exchange(watch.command, std::nullopt), std::move(watch.body)};
+            watch.isBeingPolled = true;
+            watch.nextPoll = now + (watch.isPolledOften ? kFrequentPollPeriod : steadyPollPeriod());
+            ++m_pollCount;
+            return PollTask{host, std::exchange(watch.command, std::nullopt),
+                            std::move(watch.body)};
         }
-        m_changed.wait_for(lock, kLongestIdle);
+        m_changed.wait_for(lock, kMaxIdleWait);
     }
 }
 
-void HostWatcher::perform(const Job &job)
+void HostWatcher::execute(const PollTask &job)
 {
     const Sequence sequence = m_sequence();
     try {
@@ -131,36 +133,36 @@
         logWarning("worker_command_failed", {{"host", job.host.name()}, {"error", error.what()}});
     }
     try {
-        HostObservation seen = m_client.observe(job.host);
-        seen.observedAt = sequence;
-        record(job.host, seen);
+        HostObservation observation = m_client.observe(job.host);
+        observation.observedAt = sequence;
+        record(job.host, observation);
     } catch (const std::exception &) {
         record(job.host, std::nullopt);
     }
 }
 
-Millis HostWatcher::steadyPeriod() const
+Millis HostWatcher::steadyPollPeriod() const
 {
-    return std::max<Millis>(kShortestSteadyPeriod, kPollSpacing * m_watches.size());
+    return std::max<Millis>(kMinSteadyPollPeriod, kSteadyPollPeriodPerHost * m_watchedHosts.size());
 }
 
-void HostWatcher::record(HostId host, const std::optional<HostObservation> &seen)
+void HostWatcher::record(HostId host, const std::optional<HostObservation> &observation)
 {
     const Sequence sequence = m_sequence();
     const std::lock_guard lock(m_mutex);
-    Watch &watch = m_watches[host];
-    watch.isBusy = false;
-    if (seen) {
+    WatchedHost &watch = m_watchedHosts[host];
+    watch.isBeingPolled = false;
+    if (observation) {
         watch.failures = 0;
-        watch.seen = *seen;
-        watch.seenAt = timeNow();
+        watch.observation = *observation;
+        watch.observationTime = timeNow();
         return;
     }
-    if (++watch.failures < kFailuresUntilUnfit)
+    if (++watch.failures < kFailuresUntilUnhealthy)
         return;
-    watch.seen.health = Health::Unhealthy;
-    watch.seen.observedAt = sequence;
-    watch.seenAt = timeNow();
+    watch.observation.health = Health::Unhealthy;
+    watch.observation.observedAt = sequence;
+    watch.observationTime = timeNow();
 }
 
 } // namespace oleanderhall
--- a/src/daemon/hostwatcher.h
+++ b/src/daemon/hostwatcher.h
@@ -33,21 +33,21 @@
     void send(const WorkerCommand &command, std::string body);
     void setHostList(const HostList &list);
     std::map<HostId, HostObservation> observations(Instant now) const;
-    std::uint64_t polls() const;
+    std::uint64_t pollCount() const;
 
 private:
-    struct Watch
+    struct WatchedHost
     {
-        bool isOften = false;
-        bool isBusy = false;
+        bool isPolledOften = false;
+        bool isBeingPolled = false;
         int failures = 0;
-        Instant due;
-        Instant seenAt;
-        HostObservation seen;
+        Instant nextPoll;
+        Instant observationTime;
+        HostObservation observation;
         std::optional<WorkerCommand> command;
         std::string body;
     };
-    struct Job
+    struct PollTask
     {
         HostId host;
         std::optional<WorkerCommand> command;
@@ -55,19 +55,19 @@
     };
 
     void run();
-    std::optional<Job> takeJob();
-    void perform(const Job &job);
-    Millis steadyPeriod() const;
-    void record(HostId host, const std::optional<HostObservation> &seen);
+    std::optional<PollTask> takePollTask();
+    void execute(const PollTask &job);
+    Millis steadyPollPeriod() const;
+    void record(HostId host, const std::optional<HostObservation> &observation);
 
     WorkerClient m_client;
     std::function<Sequence()> m_sequence;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     bool m_isStopping = false;
-    std::uint64_t m_polls = 0;
-    std::map<HostId, Watch> m_watches;
-    HostList m_list;
+    std::uint64_t m_pollCount = 0;
+    std::map<HostId, WatchedHost> m_watchedHosts;
+    HostList m_hostList;
     std::vector<std::thread> m_threads;
 };
 
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -17,42 +17,42 @@
 
 namespace {
 
-constexpr std::size_t kMaxLine = 4000; // bytes; a pipe takes this much whole or not at all
+constexpr std::size_t kMaxLineBytes = 4000; // bytes; a pipe takes this much whole or not at all
 
-std::string &hostName()
+std::string &entryHostName()
 {
     static std::string name;
     return name;
 }
 
-std::atomic<unsigned long> &dropped()
+std::atomic<unsigned long> &droppedCount()
 {
     static std::atomic<unsigned long> count{0};
     return count;
 }
 
 /// Allows kLogLinesPerSecond lines a second, and as many at once after a quiet second.
-class LineBudget
+class LineRateLimiter
 {
 public:
-    bool take()
+    bool tryAcquire()
     {
         const std::lock_guard lock(m_mutex);
         const Instant now = bootNow();
-        const std::chrono::duration<double> elapsed = now - m_filled;
-        m_filled = now;
-        m_lines = std::min<double>(kLogLinesPerSecond,
-                                   m_lines + elapsed.count() * kLogLinesPerSecond);
-        if (m_lines < 1)
+        const std::chrono::duration<double> elapsed = now - m_lastRefill;
+        m_lastRefill = now;
+        m_availableLines = std::min<double>(
+            kLogLinesPerSecond, m_availableLines + elapsed.count() * kLogLinesPerSecond);
+        if (m_availableLines < 1)
             return false;
-        m_lines -= 1;
+        m_availableLines -= 1;
         return true;
     }
 
 private:
     std::mutex m_mutex;
-    Instant m_filled = bootNow();
-    double m_lines = kLogLinesPerSecond;
+    Instant m_lastRefill = bootNow();
+    double m_availableLines = kLogLinesPerSecond;
 };
 
 /// Writes lines to standard output unless its reader is behind.
@@ -63,51 +63,51 @@
     {
         el::base::type::string_t line = data->logMessage()->logger()->logBuilder()->build(
             data->logMessage(), data->dispatchAction() == el::base::DispatchAction::NormalLog);
-        if (line.size() > kMaxLine)
-            line = line.substr(0, kMaxLine - 1) + "\n";
+        if (line.size() > kMaxLineBytes)
+            line = line.substr(0, kMaxLineBytes - 1) + "\n";
         pollfd output{.fd = STDOUT_FILENO, .events = POLLOUT, .revents = 0};
         const bool isReady = ::poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
         if (!isReady || ::write(STDOUT_FILENO, line.data(), line.size()) < 0)
-            ++dropped();
+            ++droppedCount();
     }
 };
 
 template <typename Fields>
-std::string lineOf(std::string_view event, const Fields &fields)
+std::string formatLine(std::string_view event, const Fields &fields)
 {
     web::json::value line = web::json::value::object(true);
     line["event"] = web::json::value::string(std::string(event));
-    line["entry"] = web::json::value::string(hostName());
+    line["entry"] = web::json::value::string(entryHostName());
     for (const auto &[name, value] : fields)
         line[std::string(name)] = web::json::value::string(value);
     return line.serialize();
 }
 
 template <typename Fields>
-void write(std::string_view event, bool isWarning, const Fields &fields)
+void writeLine(std::string_view event, bool isWarning, const Fields &fields)
 {
-    static LineBudget budget;
-    if (!budget.take()) {
-        ++dropped();
+    static LineRateLimiter limiter;
+    if (!limiter.tryAcquire()) {
+        ++droppedCount();
         return;
     }
     static std::atomic<unsigned long> reported{0};
-    const unsigned long lost = dropped();
-    if (lost > reported.exchange(lost))
-        LOG(WARNING) << lineOf(
-            "log_lines_dropped",
-            std::vector<std::pair<const char *, std::string>>{{"total", std::to_string(lost)}});
+    const unsigned long droppedNow = droppedCount();
+    if (droppedNow > reported.exchange(droppedNow))
+        LOG(WARNING) << formatLine("log_lines_dropped",
+                                   std::vector<std::pair<const char *, std::string>>{
+                                       {"total", std::to_string(droppedNow)}});
     if (isWarning)
-        LOG(WARNING) << lineOf(event, fields);
+        LOG(WARNING) << formatLine(event, fields);
     else
-        LOG(INFO) << lineOf(event, fields);
+        LOG(INFO) << formatLine(event, fields);
 }
 
 } // namespace
 
 void startLog(const std::string &host)
 {
-    hostName() = host;
+    entryHostName() = host;
     el::Configurations config;
     config.setToDefault();
     config.setGlobally(el::ConfigurationType::ToFile, "false");
@@ -122,23 +122,23 @@
 
 void logInfo(std::string_view event, LogFields fields)
 {
-    write(event, false, fields);
+    writeLine(event, false, fields);
 }
 
 void logWarning(std::string_view event, LogFields fields)
 {
-    write(event, true, fields);
+    writeLine(event, true, fields);
 }
 
 void logFields(std::string_view event, bool isWarning,
                const std::vector<std::pair<const char *, std::string>> &fields)
 {
-    write(event, isWarning, fields);
+    writeLine(event, isWarning, fields);
 }
 
 unsigned long droppedLogLines()
 {
-    return dropped();
+    return droppedCount();
 }
 
 } // namespace oleanderhall
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
-constexpr int kStatusClass = 100;
-constexpr const char *kAnswerSeconds = "answer_seconds"; // to callers
+constexpr int kStatusClassSize = 100;
+constexpr const char *kResponseLatencyName = "answer_seconds"; // to callers
 
 auto latencyAxis()
 {
@@ -42,14 +42,15 @@
 
 Metrics::Metrics()
 {
-    m_latencies.emplace(kAnswerSeconds, Latency{boost::histogram::make_histogram(latencyAxis())});
+    m_latencies.emplace(kResponseLatencyName,
+                        Latency{boost::histogram::make_histogram(latencyAxis())});
 }
 
-void Metrics::countAnswer(int status, Millis took)
+void Metrics::countResponse(int status, Millis took)
 {
     const std::lock_guard lock(m_mutex);
-    addLatency(kAnswerSeconds, took);
-    ++m_answers[status / kStatusClass];
+    addLatency(kResponseLatencyName, took);
+    ++m_responses[status / kStatusClassSize];
 }
 
 void Metrics::observe(const std::string &name, Millis took)
@@ -95,10 +96,10 @@
             << "\"} " << m_retries[index] << "\n";
     }
     writeType(out, "first_tries_total", "counter");
-    out << "oleanderhall_first_tries_total " << m_firstTries << "\n";
+    out << "oleanderhall_first_tries_total " << m_firstAttempts << "\n";
     const std::lock_guard lock(m_mutex);
     writeType(out, "answers_total", "counter");
-    for (const auto &[statusClass, amount] : m_answers)
+    for (const auto &[statusClass, amount] : m_responses)
         out << "oleanderhall_answers_total{class=\"" << statusClass << "xx\"} " << amount << "\n";
     for (const auto &[name, amount] : m_counters) {
         writeType(out, name, "counter");
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -24,8 +24,8 @@
 
     void countRefusal(RefusalReason reason) { ++m_refusals[static_cast<std::size_t>(reason)]; }
     void countRetry(RetryReason reason) { ++m_retries[static_cast<std::size_t>(reason)]; }
-    void countFirstTry() { ++m_firstTries; }
-    void countAnswer(int status, Millis took);
+    void countFirstAttempt() { ++m_firstAttempts; }
+    void countResponse(int status, Millis took);
     /// Adds `amount` to the counter `name`, which should end in `_total`.
     void count(const std::string &name, std::uint64_t amount = 1);
     /// Sets the gauge `name`.
@@ -40,7 +40,7 @@
 
     std::array<std::atomic<std::uint64_t>, kRefusalReasonCount> m_refusals{};
     std::array<std::atomic<std::uint64_t>, kRetryReasonCount> m_retries{};
-    std::atomic<std::uint64_t> m_firstTries{0};
+    std::atomic<std::uint64_t> m_firstAttempts{0};
     mutable std::mutex m_mutex;
     struct Latency
     {
@@ -51,7 +51,7 @@
     void addLatency(const std::string &name, Millis took);
 
     std::map<std::string, Latency> m_latencies;
-    std::map<int, std::uint64_t> m_answers;
+    std::map<int, std::uint64_t> m_responses;
     std::map<std::string, std::uint64_t> m_counters;
     std::map<std::string, double> m_gauges;
 };
--- a/src/daemon/operatorapi.cpp
+++ b/src/daemon/operatorapi.cpp
@@ -16,20 +16,21 @@
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
-constexpr int kInvalid = 422;
-constexpr int kUnavailable = 503;
+constexpr int kUnprocessableContent = 422;
+constexpr int kServiceUnavailable = 503;
 
-OperatorAnswer problem(int status, const std::string &message, bool mayHaveChanged = false)
+OperatorResponse errorResponse(int status, const std::string &message, bool mayHaveChanged = false)
 {
-    OperatorAnswer answer{.status = status};
-    answer.body["error"] = value::string(message);
-    answer.body["changed"] = value::string(mayHaveChanged ? "unknown" : "no");
-    return answer;
+    OperatorResponse response{.status = status};
+    response.body["error"] = value::string(message);
+    response.body["changed"] = value::string(mayHaveChanged ? "unknown" : "no");
+    return response;
 }
 
-OperatorAnswer findingsAnswer(const FindingList &findings)
+OperatorResponse findingsResponse(const FindingList &findings)
 {
-    OperatorAnswer answer = problem(kInvalid, "the document has faults; nothing was changed");
+    OperatorResponse response = errorResponse(kUnprocessableContent,
+                                              "the document has faults; nothing was changed");
     value list = value::array(findings.items().size());
     for (std::size_t index = 0; index < findings.items().size(); ++index) {
         const Finding &finding = findings.items()[index];
@@ -38,8 +39,8 @@
         list[index]["problem"] = value::string(finding.problem);
         list[index]["expected"] = value::string(finding.expected);
     }
-    answer.body["findings"] = list;
-    return answer;
+    response.body["findings"] = list;
+    return response;
 }
 
 std::map<std::string, int> countStates(const FleetState &state, PoolId pool)
@@ -73,68 +74,68 @@
     , m_traces(traces)
 {}
 
-OperatorAnswer OperatorApi::handle(const OperatorCall &call)
+OperatorResponse OperatorApi::handle(const OperatorCall &call)
 {
     try {
         return route(call);
     } catch (const InvalidDocument &error) {
-        return findingsAnswer(error.findings());
+        return findingsResponse(error.findings());
     } catch (const StaleBase &error) {
-        OperatorAnswer answer = problem(kConflict, error.what());
-        answer.body["version"] = value::number(error.current().value);
-        answer.body["difference"] = toJson(error.difference());
-        return answer;
+        OperatorResponse response = errorResponse(kConflict, error.what());
+        response.body["version"] = value::number(error.current().value);
+        response.body["difference"] = toJson(error.difference());
+        return response;
     } catch (const OutcomeUnknown &error) {
-        return problem(kUnavailable, error.what(), true);
+        return errorResponse(kServiceUnavailable, error.what(), true);
     } catch (const std::exception &error) {
-        return problem(kUnavailable, error.what());
+        return errorResponse(kServiceUnavailable, error.what());
     }
 }
 
-OperatorAnswer OperatorApi::route(const OperatorCall &call)
+OperatorResponse OperatorApi::route(const OperatorCall &call)
 {
-    const std::string first = call.path.empty() ? "" : call.path[0];
+    const std::string resource = call.path.empty() ? "" : call.path[0];
     const bool isGet = call.method == "GET";
-    if (isGet && first == "status")
+    if (isGet && resource == "status")
         return status();
-    if (isGet && first == "config")
+    if (isGet && resource == "config")
         return config();
-    if (isGet && first == "plan")
+    if (isGet && resource == "plan")
         return plan();
-    if (isGet && first == "explain" && call.path.size() == 3 && call.path[1] == "request")
+    if (isGet && resource == "explain" && call.path.size() == 3 && call.path[1] == "request")
         return explainRequest(call.path[2]);
-    if (isGet && first == "explain" && call.path.size() == 3)
+    if (isGet && resource == "explain" && call.path.size() == 3)
         return explain(call.path[1], call.path[2]);
-    if (call.method == "POST" && first == "config")
-        return apply(call);
-    if (call.method == "POST" && first == "moves")
+    if (call.method == "POST" && resource == "config")
+        return applyConfig(call);
+    if (call.method == "POST" && resource == "moves")
         return move(call);
-    if (call.method == "POST" && first == "waves")
+    if (call.method == "POST" && resource == "waves")
         return changeWave(call);
-    return problem(kNotFound, "no such call: " + call.method + " " + first);
+    return errorResponse(kNotFound, "no such call: " + call.method + " " + resource);
 }
 
-OperatorAnswer OperatorApi::status()
+OperatorResponse OperatorApi::status()
 {
-    OperatorAnswer answer;
-    answer.body["entry"] = value::string(m_settings.id.name());
-    answer.body["viewAgeMs"] = value::number(
+    OperatorResponse response;
+    response.body["entry"] = value::string(m_settings.id.name());
+    response.body["viewAgeMs"] = value::number(
         static_cast<std::int64_t>(m_controller.viewAge().count()));
     value members = value::array();
-    value missing = value::array();
+    value notAdopted = value::array();
     ConfigVersion version;
     m_controller.withState([&](const FleetState &state) {
         version = state.configVersion();
-        answer.body["sequence"] = value::number(state.sequence().value);
-        answer.body["version"] = value::number(version.value);
+        response.body["sequence"] = value::number(state.sequence().value);
+        response.body["version"] = value::number(version.value);
         value pools = value::array();
         std::size_t count = 0;
         for (const auto &[id, rule] : state.config().pools)
             pools[count++] = poolToJson(state, rule);
-        answer.body["pools"] = pools;
+        response.body["pools"] = pools;
     });
     std::size_t count = 0;
-    std::size_t missingCount = 0;
+    std::size_t notAdoptedCount = 0;
     for (const MemberRow &member : m_controller.members()) {
         value row = value::object();
         row["id"] = value::string(member.id.name());
@@ -144,29 +145,29 @@
         row["leaving"] = value::boolean(member.leaving);
         members[count++] = row;
         if (member.config < version)
-            missing[missingCount++] = value::string(member.id.name());
+            notAdopted[notAdoptedCount++] = value::string(member.id.name());
     }
-    answer.body["entryHosts"] = members;
-    answer.body["notYetAdopted"] = missing;
-    return answer;
+    response.body["entryHosts"] = members;
+    response.body["notYetAdopted"] = notAdopted;
+    return response;
 }
 
-OperatorAnswer OperatorApi::config()
+OperatorResponse OperatorApi::config()
 {
-    OperatorAnswer answer;
-    m_controller.withState([&answer](const FleetState &state) {
-        answer.body["version"] = value::number(state.configVersion().value);
-        answer.body["config"] = toJson(state.config());
+    OperatorResponse response;
+    m_controller.withState([&response](const FleetState &state) {
+        response.body["version"] = value::number(state.configVersion().value);
+        response.body["config"] = toJson(state.config());
     });
-    return answer;
+    return response;
 }
 
-OperatorAnswer OperatorApi::plan()
+OperatorResponse OperatorApi::plan()
 {
-    OperatorAnswer answer;
+    OperatorResponse response;
     value steps = value::array();
     std::size_t count = 0;
-    const auto waiting = m_controller.waiting();
+    const auto waiting = m_controller.waitReasons();
     m_controller.withState([&](const FleetState &state) {
         for (const auto &[id, record] : state.hosts()) {
             const HostSpec *spec = state.spec(id);
@@ -185,28 +186,28 @@
             steps[count++] = step;
         }
     });
-    answer.body["steps"] = steps;
-    return answer;
+    response.body["steps"] = steps;
+    return response;
 }
 
-OperatorAnswer OperatorApi::explainRequest(const std::string &requestId)
+OperatorResponse OperatorApi::explainRequest(const std::string &requestId)
 {
     const std::optional<RequestTrace> trace = m_traces.find(requestId);
     if (!trace)
-        return problem(kNotFound, "request '" + requestId + "' is not among the latest here");
-    OperatorAnswer answer;
-    answer.body["entry"] = value::string(m_settings.id.name());
-    answer.body["service"] = value::string(trace->service);
+        return errorResponse(kNotFound, "request '" + requestId + "' is not among the latest here");
+    OperatorResponse response;
+    response.body["entry"] = value::string(m_settings.id.name());
+    response.body["service"] = value::string(trace->service);
     value steps = value::array(trace->steps.size());
     for (std::size_t index = 0; index < trace->steps.size(); ++index)
         steps[index] = value::string(trace->steps[index]);
-    answer.body["steps"] = steps;
-    return answer;
+    response.body["steps"] = steps;
+    return response;
 }
 
-OperatorAnswer OperatorApi::explain(const std::string &kind, const std::string &name)
+OperatorResponse OperatorApi::explain(const std::string &kind, const std::string &name)
 {
-    OperatorAnswer answer;
+    OperatorResponse response;
     bool isKnown = false;
     m_controller.withState([&](const FleetState &state) {
         if (kind == "host") {
@@ -214,8 +215,8 @@
                 if (id.name() != name)
                     continue;
                 isKnown = true;
-                answer.body["record"] = toJson(record);
-                answer.body["changedAt"] = value::number(record.changedAt.value);
+                response.body["record"] = toJson(record);
+                response.body["changedAt"] = value::number(record.changedAt.value);
             }
         }
         if (kind == "pool") {
@@ -223,26 +224,26 @@
                 if (id.name() != name)
                     continue;
                 isKnown = true;
-                answer.body["pool"] = poolToJson(state, rule);
+                response.body["pool"] = poolToJson(state, rule);
             }
         }
     });
     if (!isKnown)
-        return problem(kNotFound, "no " + kind + " named '" + name + "'");
-    for (const auto &[host, reason] : m_controller.waiting()) {
+        return errorResponse(kNotFound, "no " + kind + " named '" + name + "'");
+    for (const auto &[host, reason] : m_controller.waitReasons()) {
         if (host.name() == name)
-            answer.body["waiting"] = value::string(reason);
+            response.body["waiting"] = value::string(reason);
     }
     value decisions = value::array();
     std::size_t count = 0;
-    for (const std::string &text : m_controller.historyOf(name)) {
+    for (const std::string &text : m_controller.recentEntriesFor(name)) {
         const value entry = value::parse(text);
         decisions[count]["sequence"] = entry.at("sequence");
         decisions[count]["actor"] = entry.at("actor");
         decisions[count++]["reason"] = entry.at("reason");
     }
-    answer.body["decisions"] = decisions;
-    return answer;
+    response.body["decisions"] = decisions;
+    return response;
 }
 
 } // namespace oleanderhall
--- a/src/daemon/operatorapi.h
+++ b/src/daemon/operatorapi.h
@@ -21,7 +21,7 @@
 };
 
 /// Internal: the answer to an OperatorCall.
-struct OperatorAnswer
+struct OperatorResponse
 {
     int status = 200;
     web::json::value body = web::json::value::object();
@@ -34,20 +34,20 @@
     OperatorApi(const Settings &settings, Controller &controller, const RequestTraces &traces);
 
     /// Answers a call. Never throws; every failure is an answer that says what was changed.
-    OperatorAnswer handle(const OperatorCall &call);
+    OperatorResponse handle(const OperatorCall &call);
 
 private:
-    OperatorAnswer route(const OperatorCall &call);
-    OperatorAnswer status();
-    OperatorAnswer config();
-    OperatorAnswer apply(const OperatorCall &call);
+    OperatorResponse route(const OperatorCall &call);
+    OperatorResponse status();
+    OperatorResponse config();
+    OperatorResponse applyConfig(const OperatorCall &call);
     /// Commits what `propose` returns, or only asks it when the call is a dry run.
-    OperatorAnswer submit(const OperatorCall &call, const Controller::Proposer &propose);
-    OperatorAnswer move(const OperatorCall &call);
-    OperatorAnswer changeWave(const OperatorCall &call);
-    OperatorAnswer plan();
-    OperatorAnswer explainRequest(const std::string &requestId);
-    OperatorAnswer explain(const std::string &kind, const std::string &name);
+    OperatorResponse submit(const OperatorCall &call, const Controller::Proposer &propose);
+    OperatorResponse move(const OperatorCall &call);
+    OperatorResponse changeWave(const OperatorCall &call);
+    OperatorResponse plan();
+    OperatorResponse explainRequest(const std::string &requestId);
+    OperatorResponse explain(const std::string &kind, const std::string &name);
 
     const Settings &m_settings;
     Controller &m_controller;
--- a/src/daemon/operatorchanges.cpp
+++ b/src/daemon/operatorchanges.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::int64_t kLargest = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t kMaxInteger = std::numeric_limits<std::int64_t>::max();
 
 template <typename Visit>
 void parseBody(const std::string &text, const Visit &visit)
@@ -28,17 +28,17 @@
         throw InvalidDocument(std::move(findings));
 }
 
-[[noreturn]] void throwFinding(const std::string &place, const std::string &problem,
+[[noreturn]] void throwFinding(const std::string &location, const std::string &problem,
                                const std::string &expected)
 {
     FindingList findings;
-    findings.add({"request", place, problem, expected});
+    findings.add({"request", location, problem, expected});
     throw InvalidDocument(std::move(findings));
 }
 
 /// Returns the entry that accepts `candidate` on top of `state`, or nothing when it is in force.
-std::optional<LogEntry> acceptance(const FleetState &state, const Register &candidate,
-                                   const std::string &reason)
+std::optional<LogEntry> makeConfigEntry(const FleetState &state, const Register &candidate,
+                                        const std::string &reason)
 {
     FindingList findings;
     checkTransition(state.config(), candidate, findings);
@@ -55,14 +55,14 @@
 
 } // namespace
 
-OperatorAnswer OperatorApi::apply(const OperatorCall &call)
+OperatorResponse OperatorApi::applyConfig(const OperatorCall &call)
 {
     ConfigVersion base;
     Register candidate;
     std::string reason;
     parseBody(call.body, [&](const JsonCursor &cursor) {
         cursor.allowOnly({"base", "register", "rules", "reason"});
-        base = {static_cast<std::uint64_t>(cursor.number("base", 0, kLargest))};
+        base = {static_cast<std::uint64_t>(cursor.number("base", 0, kMaxInteger))};
         reason = cursor.textOr("reason", "applied by an operator");
         if (!cursor.value().has_field("register") || !cursor.value().has_field("rules"))
             throwFinding("", "lacks a document", "register and rules");
@@ -71,33 +71,33 @@
     });
     value changes;
     const auto propose = [&](const FleetState &state) -> std::optional<LogEntry> {
-        std::optional<LogEntry> entry = acceptance(state, candidate, reason);
+        std::optional<LogEntry> entry = makeConfigEntry(state, candidate, reason);
         if (entry && state.configVersion() != base)
             throw StaleBase(state.configVersion(), difference(state.config(), candidate));
         changes = toJson(difference(state.config(), candidate));
         return entry;
     };
-    OperatorAnswer answer = submit(call, propose);
-    answer.body["difference"] = changes;
-    return answer;
+    OperatorResponse response = submit(call, propose);
+    response.body["difference"] = changes;
+    return response;
 }
 
-OperatorAnswer OperatorApi::submit(const OperatorCall &call, const Controller::Proposer &propose)
+OperatorResponse OperatorApi::submit(const OperatorCall &call, const Controller::Proposer &propose)
 {
     bool isChanged = false;
     if (call.isDryRun)
         m_controller.withState([&propose](const FleetState &state) { propose(state); });
     else
         isChanged = m_controller.commit(propose).has_value();
-    OperatorAnswer answer;
-    answer.body["changed"] = value::string(isChanged ? "yes" : "no");
-    m_controller.withState([&answer](const FleetState &state) {
-        answer.body["version"] = value::number(state.configVersion().value);
+    OperatorResponse response;
+    response.body["changed"] = value::string(isChanged ? "yes" : "no");
+    m_controller.withState([&response](const FleetState &state) {
+        response.body["version"] = value::number(state.configVersion().value);
     });
-    return answer;
+    return response;
 }
 
-OperatorAnswer OperatorApi::move(const OperatorCall &call)
+OperatorResponse OperatorApi::move(const OperatorCall &call)
 {
     std::string hostName;
     std::string poolName;
@@ -118,12 +118,12 @@
         checkRegister(candidate, "request", findings);
         if (!findings.empty())
             throw InvalidDocument(std::move(findings));
-        return acceptance(state, candidate, reason + ": " + hostName + " to " + poolName);
+        return makeConfigEntry(state, candidate, reason + ": " + hostName + " to " + poolName);
     };
     return submit(call, propose);
 }
 
-OperatorAnswer OperatorApi::changeWave(const OperatorCall &call)
+OperatorResponse OperatorApi::changeWave(const OperatorCall &call)
 {
     std::string poolName;
     std::string action;
@@ -138,30 +138,31 @@
                                                     {"resume", WaveStatus::Running},
                                                     {"pause", WaveStatus::Paused},
                                                     {"stop", WaveStatus::Stopped}};
-    const auto wanted = actions.find(action);
-    if (wanted == actions.end())
+    const auto requestedStatus = actions.find(action);
+    if (requestedStatus == actions.end())
         throwFinding("/action", "'" + action + "' is unknown", "start, pause, resume or stop");
     const auto propose = [&](const FleetState &state) -> std::optional<LogEntry> {
         const PoolId pool(poolName);
         if (!state.config().pools.contains(pool))
             throwFinding("/pool", "pool '" + poolName + "' is unknown", "a pool of the rules");
-        const WaveRecord *known = state.waveOf(pool);
-        const bool isOpen = known
-            && (known->status == WaveStatus::Running || known->status == WaveStatus::Paused);
+        const WaveRecord *current = state.waveOf(pool);
+        const bool isOpen = current
+            && (current->status == WaveStatus::Running || current->status == WaveStatus::Paused);
         if (action == "start" && isOpen)
             throwFinding("/pool", "a wave is open in pool '" + poolName + "'", "no open wave");
-        const bool mayResume = action == "resume" && known && known->status == WaveStatus::Stopped;
+        const bool mayResume = action == "resume" && current
+            && current->status == WaveStatus::Stopped;
         if (action != "start" && !isOpen && !mayResume)
             throwFinding("/pool", "no wave is open in pool '" + poolName + "'", "an open wave");
         WaveRecord next;
         if (action != "start")
-            next = *known;
+            next = *current;
         else
             next.id = WaveId(poolName + "-" + std::to_string(state.sequence().next().value));
-        if (action != "start" && next.status == wanted->second)
+        if (action != "start" && next.status == requestedStatus->second)
             return std::nullopt;
         next.pool = pool;
-        next.status = wanted->second;
+        next.status = requestedStatus->second;
         next.reason = reason;
         LogEntry entry;
         entry.reason = "wave " + next.id.name() + " " + action + ": " + reason;
--- a/src/daemon/operatorserver.cpp
+++ b/src/daemon/operatorserver.cpp
@@ -53,21 +53,21 @@
         if (segments.empty() || segments.front() != "v1")
             return reply(request, status_codes::NotFound, "not found\n");
         segments.erase(segments.begin());
-        request.extract_utf8string(true).then(
-            [this, request, segments](const pplx::task<std::string> &body) {
-                OperatorCall call{.method = request.method(), .path = segments};
-                try {
-                    call.body = body.get();
-                } catch (const std::exception &) {
-                    return; // The operator went away in the middle of the call.
-                }
-                call.isDryRun = request.relative_uri().query() == "dryRun=1";
-                // A call blocks on the platform, whose client needs the threads that run this.
-                boost::asio::post(callThreads, [this, request, call]() mutable {
-                    const OperatorAnswer answer = api.handle(call);
-                    request.reply(static_cast<web::http::status_code>(answer.status), answer.body);
-                });
+        request.extract_utf8string(true).then([this, request,
+                                               segments](const pplx::task<std::string> &body) {
+            OperatorCall call{.method = request.method(), .path = segments};
+            try {
+                call.body = body.get();
+            } catch (const std::exception &) {
+                return; // The operator went away in the middle of the call.
+            }
+            call.isDryRun = request.relative_uri().query() == "dryRun=1";
+            // A call blocks on the platform, whose client needs the threads that run this.
+            boost::asio::post(callThreads, [this, request, call]() mutable {
+                const OperatorResponse response = api.handle(call);
+                request.reply(static_cast<web::http::status_code>(response.status), response.body);
             });
+        });
     }
 
     static void reply(const http_request &request, web::http::status_code status,
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -24,10 +24,10 @@
     int platformTimeoutMs = 1000;
     int stopNoticeMs = 1500;
     int stopLimitMs = 30000;
-    int headerTimeMs = 5000;
-    int bodyTimeMs = 10000;
-    int idleTimeMs = 30000;
-    int answerTimeMs = 10000;
+    int headerTimeoutMs = 5000;
+    int bodyTimeoutMs = 10000;
+    int idleTimeoutMs = 30000;
+    int responseTimeoutMs = 10000;
 };
 
 void addOptions(CLI::App &app, RawSettings &raw, Settings &settings)
@@ -54,10 +54,11 @@
               "Largest request header in bytes");
     addOption(app, "--max-buffered-bytes", settings.maxBufferedBytes,
               "All request bodies in bytes");
-    addOption(app, "--header-time-ms", raw.headerTimeMs, "Time for a request header");
-    addOption(app, "--body-time-ms", raw.bodyTimeMs, "Time for a request body");
-    addOption(app, "--idle-time-ms", raw.idleTimeMs, "Time for which a connection may be idle");
-    addOption(app, "--answer-time-ms", raw.answerTimeMs, "Time for a caller to take its answer");
+    addOption(app, "--header-time-ms", raw.headerTimeoutMs, "Time for a request header");
+    addOption(app, "--body-time-ms", raw.bodyTimeoutMs, "Time for a request body");
+    addOption(app, "--idle-time-ms", raw.idleTimeoutMs, "Time for which a connection may be idle");
+    addOption(app, "--answer-time-ms", raw.responseTimeoutMs,
+              "Time for a caller to take its answer");
     addOption(app, "--retry-percent", settings.retryPercent, "Retries in percent of first tries");
     addOption(app, "--tick-ms", raw.tickMs, "Time between two control steps in milliseconds");
     addOption(app, "--view-lease-ms", raw.viewLeaseMs,
@@ -103,10 +104,10 @@
     checkRange(settings.maxBodyBytes, 0, kMaxBody, "--max-body-bytes", findings);
     checkRange(settings.maxHeaderBytes, 1024, kMaxHeader, "--max-header-bytes", findings);
     checkRange(settings.maxBufferedBytes, 0, kMaxBuffered, "--max-buffered-bytes", findings);
-    checkRange(raw.headerTimeMs, 1, kMaxMillis, "--header-time-ms", findings);
-    checkRange(raw.bodyTimeMs, 1, kMaxMillis, "--body-time-ms", findings);
-    checkRange(raw.idleTimeMs, 1, kMaxMillis, "--idle-time-ms", findings);
-    checkRange(raw.answerTimeMs, 1, kMaxMillis, "--answer-time-ms", findings);
+    checkRange(raw.headerTimeoutMs, 1, kMaxMillis, "--header-time-ms", findings);
+    checkRange(raw.bodyTimeoutMs, 1, kMaxMillis, "--body-time-ms", findings);
+    checkRange(raw.idleTimeoutMs, 1, kMaxMillis, "--idle-time-ms", findings);
+    checkRange(raw.responseTimeoutMs, 1, kMaxMillis, "--answer-time-ms", findings);
     checkRange(settings.retryPercent, 0, 100, "--retry-percent", findings);
     checkRange(raw.tickMs, 10, 1000, "--tick-ms", findings);
     checkRange(raw.viewLeaseMs, 1000, 3500, "--view-lease-ms", findings);
@@ -139,10 +140,10 @@
     settings.platformTimeout = Millis(raw.platformTimeoutMs);
     settings.stopNotice = Millis(raw.stopNoticeMs);
     settings.stopLimit = Millis(raw.stopLimitMs);
-    settings.headerTime = Millis(raw.headerTimeMs);
-    settings.bodyTime = Millis(raw.bodyTimeMs);
-    settings.idleTime = Millis(raw.idleTimeMs);
-    settings.answerTime = Millis(raw.answerTimeMs);
+    settings.headerTimeout = Millis(raw.headerTimeoutMs);
+    settings.bodyTimeout = Millis(raw.bodyTimeoutMs);
+    settings.idleTimeout = Millis(raw.idleTimeoutMs);
+    settings.responseTimeout = Millis(raw.responseTimeoutMs);
 }
 
 } // namespace
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -40,10 +40,10 @@
     int maxBodyBytes = 1 << 20;
     int maxHeaderBytes = 8192;
     int maxBufferedBytes = 8 << 20;
-    Millis headerTime{5000};
-    Millis bodyTime{10000};
-    Millis idleTime{30000};
-    Millis answerTime{10000};
+    Millis headerTimeout{5000};
+    Millis bodyTimeout{10000};
+    Millis idleTimeout{30000};
+    Millis responseTimeout{10000};
     int retryPercent = 10;
     Millis tick{250};
     Millis viewLease{3000};
--- a/src/daemon/wakeup.h
+++ b/src/daemon/wakeup.h
@@ -11,17 +11,17 @@
 class Wakeup
 {
 public:
-    void sleepUntil(Instant latest)
+    void sleepUntil(Instant deadline)
     {
         std::unique_lock lock(m_mutex);
-        m_changed.wait_until(lock, latest, [this] { return m_isAwake; });
-        m_isAwake = false;
+        m_changed.wait_until(lock, deadline, [this] { return m_isSignaled; });
+        m_isSignaled = false;
     }
     void wake()
     {
         {
             const std::lock_guard lock(m_mutex);
-            m_isAwake = true;
+            m_isSignaled = true;
         }
         m_changed.notify_one();
     }
@@ -29,7 +29,7 @@
 private:
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    bool m_isAwake = false;
+    bool m_isSignaled = false;
 };
 
 } // namespace oleanderhall
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -86,7 +86,7 @@
 asio::awaitable<Reply> Dispatcher::dispatch(Call call)
 {
     Progress progress;
-    m_parts.metrics.countFirstTry();
+    m_parts.metrics.countFirstAttempt();
     {
         const std::lock_guard lock(m_budgetMutex);
         m_budget.countFirstTry(timeNow());
@@ -227,7 +227,7 @@
         record.keepsBody = true;
         m_parts.claims.settle(*progress.claim, std::move(record));
     }
-    m_parts.metrics.countAnswer(reply.status, since(call.received));
+    m_parts.metrics.countResponse(reply.status, since(call.received));
     return reply;
 }
 
@@ -242,7 +242,7 @@
     }
     progress.steps.push_back("refused " + std::string(nameOf(refusal.reason)));
     m_parts.metrics.countRefusal(refusal.reason);
-    m_parts.metrics.countAnswer(statusOf(refusal.reason), since(call.received));
+    m_parts.metrics.countResponse(statusOf(refusal.reason), since(call.received));
     return problemReply(refusal);
 }
 
--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -111,7 +111,7 @@
 {
     const Instant received = bootNow();
     Reply reply = co_await route(request);
-    m_metrics.countAnswer(reply.status, std::chrono::duration_cast<Millis>(bootNow() - received));
+    m_metrics.countResponse(reply.status, std::chrono::duration_cast<Millis>(bootNow() - received));
     co_return reply;
 }
 
--- a/tests/daemon/metrics_test.cpp
+++ b/tests/daemon/metrics_test.cpp
@@ -19,7 +19,7 @@
 TEST_CASE("Metrics_answer_countsItsClassAndTime", "[metrics]")
 {
     Metrics metrics;
-    metrics.countAnswer(503, Millis(1));
+    metrics.countResponse(503, Millis(1));
     const std::string text = metrics.text();
     CHECK(text.find("answers_total{class=\"5xx\"} 1\n") != std::string::npos);
     CHECK(text.find("answer_seconds_count 1\n") != std::string::npos);
