--- a/apps/oleanderhalld.cpp
+++ b/apps/oleanderhalld.cpp
@@ -1,4 +1,4 @@
-// The entry host's daemon. See docs/operators/settings.md.
+// The daemon of an entry host. Its settings are described in docs/operators/settings.md.
 #include "../src/daemon/entryhost.h"
 
 #include <iostream>
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -21,8 +21,11 @@
 constexpr int kMaxHeadReads = 3;
 constexpr int kWatcherThreads = 2;
 constexpr Millis kMemberExpiry{8000};
-constexpr Millis kMemberExpiryPerMember{210}; // three heartbeats and a read
-constexpr Millis kIdleStepPeriod{1000}; // still four reads of the head within the time to adopt
+// Three heartbeats (20 ms each) and a read (150 ms).
+constexpr Millis kMemberExpiryPerMember{210};
+// Still allows four reads of the head within the time in which a change must be adopted.
+constexpr Millis kIdleStepPeriod{1000};
+// Steps run at the configured tick for this long after activity.
 constexpr Millis kActiveTime{3000};
 
 std::set<PoolId> affectedPools(const FleetState &before, const LogEntry &entry)
@@ -160,8 +163,9 @@
             break;
     }
     if (isUnknown)
-        throw OutcomeUnknown("the table did not answer; look at the status before trying again");
-    throw PlatformUnavailable("too many other changes at the same time; nothing was changed");
+        throw OutcomeUnknown("the table did not respond, so the change may be in force; check the "
+                             "status before retrying");
+    throw PlatformUnavailable("too many conflicts with concurrent changes; nothing was changed");
 }
 
 std::vector<MemberRow> Controller::members() const
--- a/src/daemon/controller.h
+++ b/src/daemon/controller.h
@@ -29,9 +29,10 @@
 class Metrics;
 class RouteTable;
 
-/// Internal: the control side of an entry host. One thread keeps the view up to date, sends the
-/// heartbeat, and decides for the pools that this entry host owns; operators' changes run between
-/// its steps. Lock order: step, state, then whatever the route table takes.
+/// Internal: the control loop of an entry host. One thread keeps the view (the local copy of the
+/// fleet's state) up to date, sends the heartbeat, and plans for the pools that this entry host
+/// owns. Operators' changes are committed between two steps of the loop. Lock order: m_stepMutex,
+/// m_stateMutex, then the mutexes of the route table.
 class Controller
 {
 public:
@@ -41,47 +42,62 @@
     Controller(const Controller &) = delete;
     Controller &operator=(const Controller &) = delete;
 
+    /// Starts the control thread.
     void start();
-    /// Tells the others that this entry host is stopping; it owns no pool from then on.
+    /// Stops planning for pools. The heartbeats that follow mark this entry host as leaving, so
+    /// that other entry hosts take over its pools.
     void leave();
-    /// Ends the thread and removes the heartbeat row.
+    /// Stops the control thread and deletes the heartbeat row.
     void stop();
 
-    /// Says whether a view was ever loaded.
+    /// Returns whether a view has been loaded since the start.
     bool hasView() const { return m_hasView; }
 
-    /// Calls `visit` with the state while it can't change.
+    /// Calls `visit` with the current state, which is locked against changes during the call.
     void withState(const std::function<void(const FleetState &)> &visit) const;
-    /// Appends the texts of entries after `sequence`; false when they are no longer held.
+    /// Appends to `out` the JSON texts of the entries that follow `sequence` until it holds `limit`
+    /// texts. Returns false if some of these entries are no longer in memory.
     bool entriesAfter(Sequence sequence, std::size_t limit, std::vector<std::string> &out) const;
+    /// Returns the maximum age of the view.
     Millis viewAge() const;
 
-    /// What `change` may look at and return: the entry's changes and reason, or none for no change.
+    /// Returns an entry with its changes and reason for the given state, or nothing if no change is
+    /// needed.
     using Proposer = std::function<std::optional<LogEntry>(const FleetState &)>;
-    /// Commits what `propose` returns on the newest state, proposing anew after a conflict. Returns
-    /// the committed entry's sequence, or nothing when there was nothing to change. Throws what
-    /// `propose` throws, PlatformUnavailable, or OutcomeUnknown.
+    /// Commits the entry that `propose` returns for the latest state, and calls `propose` again
+    /// after a conflict. Returns the sequence of the committed entry, or nothing if there was no
+    /// change. Throws PlatformUnavailable if nothing was changed, OutcomeUnknown if the entry may
+    /// have been committed, and what `propose` throws.
     std::optional<Sequence> commit(const Proposer &propose);
 
+    /// Returns the entry hosts that send heartbeats, including those that are leaving.
     std::vector<MemberRow> members() const;
-    /// Returns why hosts wait, as the last plans of the owned pools said.
+    /// Returns why disruptions of hosts are deferred, according to the latest plans of the pools
+    /// that this entry host owns.
     std::map<HostId, std::string> waitReasons() const;
-    /// Returns the entries held in memory that concern `host`, as JSON texts, oldest first.
+    /// Returns the entries in memory that contain `name` as a JSON string, as JSON texts, oldest
+    /// first.
     std::vector<std::string> recentEntriesFor(const std::string &name) const;
 
 private:
     void run();
     void step();
+    /// Reads the change log up to its head and renews the view lease. Returns whether the state is
+    /// that of the head.
     bool refreshFromTable();
     void catchUp(Sequence target);
+    /// Updates the view from a random peer while the table can't be read.
     void refreshFromPeer();
     void replaceState(FleetState state);
+    /// Returns false if `entry` doesn't follow the current state.
     bool applyEntry(const LogEntry &entry);
     void heartbeat(Instant now);
     void readMembers(Instant now);
     void readHostList(Instant now);
     void removeDeadMembers(Instant now);
     void decide(Instant now);
+    /// Returns false if the entry was not committed; the remaining pools then wait for the next
+    /// step.
     bool decideFor(PoolPlanner &planner, const Observations &observations, Instant now);
     void watchHosts(const std::vector<PoolId> &pools);
     AppendOutcome append(LogEntry entry);
@@ -89,7 +105,7 @@
     static Instant timeNow() { return std::chrono::steady_clock::now(); }
     std::vector<std::string> peerAddresses() const;
 
-    static constexpr const char *kMemberPartition = "entry"; ///< Of the heartbeat rows.
+    static constexpr const char *kMemberPartition = "entry"; ///< Partition of the heartbeat rows.
 
     const Settings &m_settings;
     DynamoTable &m_table;
@@ -112,9 +128,9 @@
     MemberRow m_memberRow;
     HostList m_hostList;
     bool m_hasHostList = false;
-    Sequence m_latestDrainSequence; ///< The newest entry that drains a host.
-    bool m_awaitsAcknowledgements = false; ///< A host of an owned pool drains.
-    std::atomic<Instant> m_lastActivity{Instant{}}; ///< Also written by operators' changes.
+    Sequence m_latestDrainSequence; ///< The latest entry that starts to drain a host.
+    bool m_awaitsAcknowledgements = false; ///< A host of an owned pool is draining.
+    std::atomic<Instant> m_lastActivity{Instant{}}; ///< Also updated by operators' changes.
     Wakeup m_wakeup;
     Instant m_nextHeartbeat;
     Instant m_nextMemberRead;
--- a/src/daemon/controllerdecisions.cpp
+++ b/src/daemon/controllerdecisions.cpp
@@ -1,4 +1,4 @@
-// What an entry host decides for the pools that it owns.
+// Planning for the pools that this entry host owns.
 #include "controller.h"
 
 #include "log.h"
@@ -58,7 +58,7 @@
     }
     if (plan.changes.empty())
         return true;
-    // What was seen may no longer hold when this process was paused since.
+    // The observations may be out of date if this process was paused after they were read.
     if (timeNow() - now > kMaxDecisionAge) {
         m_metrics.count("old_decisions_dropped_total");
         return false;
--- a/src/daemon/controllermembers.cpp
+++ b/src/daemon/controllermembers.cpp
@@ -1,4 +1,4 @@
-// How an entry host and the others know of one another.
+// Membership: heartbeats, the entry hosts that are live, and the addresses of peers.
 #include "controller.h"
 
 #include "log.h"
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr Millis kMinHeartbeatPeriod{2000};
-constexpr Millis kHeartbeatPeriodPerMember{20}; // keeps the table's writes below 50 a second
+constexpr Millis kHeartbeatPeriodPerMember{20}; // At most 50 writes per second in total
 constexpr Millis kMinMemberReadPeriod{2000};
-constexpr Millis kMemberReadPeriodPerMember{150}; // keeps the bytes of a read below 2 KB a second
-constexpr Millis kDrainingReadPeriodPerMember{30};
+constexpr Millis kMemberReadPeriodPerMember{150}; // Keeps reads below 2 KB per second
+constexpr Millis kDrainingReadPeriodPerMember{30}; // A drain waits for acknowledgements
 constexpr Millis kHostListPeriod{5000};
 constexpr Millis kMinSilenceBeforeRemoval{15000};
 
@@ -24,7 +24,8 @@
 
 void Controller::heartbeat(Instant now)
 {
-    // Those who drain a host wait until everyone has seen it, so that is said at once.
+    // A drain waits until every entry host has acknowledged it, so the heartbeat with the
+    // acknowledgement is sent at once.
     const bool hasUnacknowledgedDrain = m_memberRow.acknowledged < m_latestDrainSequence;
     if (now < m_nextHeartbeat && !hasUnacknowledgedDrain)
         return;
@@ -99,7 +100,8 @@
     if (!m_hasHostList)
         return;
     for (const EntryId entry : m_members.silentFor(kMinSilenceBeforeRemoval, now)) {
-        // A row is removed only when the platform, too, no longer knows the entry host.
+        // A silent entry host may still be running: its row is removed only if the platform's host
+        // list doesn't contain it either.
         if (m_hostList.contains(entry.name()) || entry == m_settings.id)
             continue;
         try {
--- a/src/daemon/entryhost.cpp
+++ b/src/daemon/entryhost.cpp
@@ -30,12 +30,13 @@
 
 namespace {
 
-constexpr int kPlatformThreads = 8; // of the HTTP client and the operators' server
+constexpr int kPlatformThreads = 8; // Shared by the HTTP client and the operators' server
 constexpr int kMallocArenas = 2;
 constexpr Millis kHousekeepingPeriod{500};
+constexpr Millis kStopPollPeriod{20};
 constexpr int kExitRequestsCutOff = 1;
 
-/// Blocks the stop signals in this thread and all that it starts later.
+/// Blocks the stop signals in this thread and in all threads that it starts later.
 sigset_t blockStopSignals()
 {
     sigset_t signals;
@@ -46,7 +47,7 @@
     return signals;
 }
 
-/// Waits for a stop signal at most `wait`; returns whether one came.
+/// Waits up to `wait` for a stop signal. Returns whether one was received.
 bool waitForStop(const sigset_t &signals, Millis wait)
 {
     constexpr long kNanosPerMilli = 1000000;
@@ -147,8 +148,9 @@
         m_upstreams.setConnectionShare(m_routes.connectionShare());
     }
 
-    /// Not ready first, then no new connections, then what is in flight, then control, then the
-    /// end.
+    /// Stops in this order: reports 'not ready' and closes each connection after its next response;
+    /// after the stop notice, closes the callers' listener and waits for the requests in flight;
+    /// then stops the control loop. Returns the exit code.
     int stop(const sigset_t &signals)
     {
         logInfo("stopping");
@@ -161,7 +163,7 @@
         m_callers->stop();
         const Instant deadline = std::chrono::steady_clock::now() + m_settings.stopLimit;
         while (m_callers->busy() > 0 && std::chrono::steady_clock::now() < deadline) {
-            if (waitForStop(signals, Millis(20)))
+            if (waitForStop(signals, kStopPollPeriod))
                 return stopImmediately();
         }
         m_controller.stop();
@@ -169,6 +171,7 @@
         return m_callers->busy() == 0 ? 0 : kExitRequestsCutOff;
     }
 
+    /// Ends the process without waiting for the requests in flight, after a second stop signal.
     int stopImmediately()
     {
         logWarning("stopped_by_second_signal", {{"cutOff", std::to_string(m_callers->busy())}});
--- a/src/daemon/hostwatcher.cpp
+++ b/src/daemon/hostwatcher.cpp
@@ -8,8 +8,8 @@
 
 constexpr Millis kFrequentPollPeriod{200};
 constexpr Millis kMinSteadyPollPeriod{2000};
-constexpr Millis kSteadyPollPeriodPerHost{
-    500}; // between polls of steady hosts, so that cost has a limit
+// Limits polls of steady hosts to two per second in total.
+constexpr Millis kSteadyPollPeriodPerHost{500};
 constexpr int kPollPeriodsUntilExpiry = 4;
 constexpr Millis kMaxIdleWait{100};
 constexpr int kFailuresUntilUnhealthy = 2;
@@ -46,11 +46,11 @@
     std::erase_if(m_watchedHosts, [&hosts](const auto &item) {
         return !hosts.contains(item.first) && !item.second.isBeingPolled;
     });
-    for (const auto &[host, isOften] : hosts) {
-        WatchedHost &watch = m_watchedHosts[host];
-        if (isOften && !watch.isPolledOften)
-            watch.nextPoll = timeNow();
-        watch.isPolledOften = isOften;
+    for (const auto &[host, isPolledOften] : hosts) {
+        WatchedHost &watched = m_watchedHosts[host];
+        if (isPolledOften && !watched.isPolledOften)
+            watched.nextPoll = timeNow();
+        watched.isPolledOften = isPolledOften;
     }
     m_changed.notify_all();
 }
@@ -76,9 +76,9 @@
     const std::lock_guard lock(m_mutex);
     std::map<HostId, HostObservation> result;
     const Millis expiry = kPollPeriodsUntilExpiry * steadyPollPeriod();
-    for (const auto &[host, watch] : m_watchedHosts) {
-        HostObservation observation = watch.observation;
-        if (now - watch.observationTime > expiry)
+    for (const auto &[host, watched] : m_watchedHosts) {
+        HostObservation observation = watched.observation;
+        if (now - watched.observationTime > expiry)
             observation.health = Health::Unknown;
         const auto listed = m_hostList.find(host.name());
         observation.leaving = listed != m_hostList.end() && listed->second == ListedState::Leaving;
@@ -96,10 +96,10 @@
 void HostWatcher::run()
 {
     for (;;) {
-        const std::optional<PollTask> job = takePollTask();
-        if (!job)
+        const std::optional<PollTask> task = takePollTask();
+        if (!task)
             return;
-        execute(*job);
+        execute(*task);
     }
 }
 
@@ -110,34 +110,35 @@
         if (m_isStopping)
             return std::nullopt;
         const Instant now = timeNow();
-        for (auto &[host, watch] : m_watchedHosts) {
-            if (watch.isBeingPolled || watch.nextPoll > now)
+        for (auto &[host, watched] : m_watchedHosts) {
+            if (watched.isBeingPolled || watched.nextPoll > now)
                 continue;
-            watch.isBeingPolled = true;
-            watch.nextPoll = now + (watch.isPolledOften ? kFrequentPollPeriod : steadyPollPeriod());
+            watched.isBeingPolled = true;
+            watched.nextPoll = now
+                + (watched.isPolledOften ? kFrequentPollPeriod : steadyPollPeriod());
             ++m_pollCount;
-            return PollTask{host, std::exchange(watch.command, std::nullopt),
-                            std::move(watch.body)};
+            return PollTask{host, std::exchange(watched.command, std::nullopt),
+                            std::move(watched.body)};
         }
         m_changed.wait_for(lock, kMaxIdleWait);
     }
 }
 
-void HostWatcher::execute(const PollTask &job)
+void HostWatcher::execute(const PollTask &task)
 {
     const Sequence sequence = m_sequence();
     try {
-        if (job.command)
-            m_client.send(*job.command, job.body);
+        if (task.command)
+            m_client.send(*task.command, task.body);
     } catch (const std::exception &error) {
-        logWarning("worker_command_failed", {{"host", job.host.name()}, {"error", error.what()}});
+        logWarning("worker_command_failed", {{"host", task.host.name()}, {"error", error.what()}});
     }
     try {
-        HostObservation observation = m_client.observe(job.host);
+        HostObservation observation = m_client.observe(task.host);
         observation.observedAt = sequence;
-        record(job.host, observation);
+        record(task.host, observation);
     } catch (const std::exception &) {
-        record(job.host, std::nullopt);
+        record(task.host, std::nullopt);
     }
 }
 
@@ -150,19 +151,19 @@
 {
     const Sequence sequence = m_sequence();
     const std::lock_guard lock(m_mutex);
-    WatchedHost &watch = m_watchedHosts[host];
-    watch.isBeingPolled = false;
+    WatchedHost &watched = m_watchedHosts[host];
+    watched.isBeingPolled = false;
     if (observation) {
-        watch.failures = 0;
-        watch.observation = *observation;
-        watch.observationTime = timeNow();
+        watched.failures = 0;
+        watched.observation = *observation;
+        watched.observationTime = timeNow();
         return;
     }
-    if (++watch.failures < kFailuresUntilUnhealthy)
+    if (++watched.failures < kFailuresUntilUnhealthy)
         return;
-    watch.observation.health = Health::Unhealthy;
-    watch.observation.observedAt = sequence;
-    watch.observationTime = timeNow();
+    watched.observation.health = Health::Unhealthy;
+    watched.observation.observedAt = sequence;
+    watched.observationTime = timeNow();
 }
 
 } // namespace oleanderhall
--- a/src/daemon/hostwatcher.h
+++ b/src/daemon/hostwatcher.h
@@ -17,22 +17,28 @@
 
 namespace oleanderhall {
 
-/// Internal: tells the workers of the owned pools what to run and asks them for their state, with a
-/// few threads of its own. An observation carries the sequence at which its poll began.
+/// Internal: sends commands to the workers on the hosts of the owned pools and polls their state,
+/// on threads of its own. An observation carries the sequence of the view at the start of its poll.
 class HostWatcher
 {
 public:
+    /// Starts `threads` polling threads. `sequence` returns the sequence of the current view and is
+    /// called from these threads.
     HostWatcher(WorkerClient client, std::function<Sequence()> sequence, int threads);
     ~HostWatcher();
     HostWatcher(const HostWatcher &) = delete;
     HostWatcher &operator=(const HostWatcher &) = delete;
 
-    /// Watches exactly these hosts; true marks those that are due often.
+    /// Replaces the set of watched hosts. Hosts with the value true are polled at the short period.
     void watch(const std::map<HostId, bool> &hosts);
-    /// Sends a command as soon as possible. A later command to the same host replaces it.
+    /// Queues a command, which is sent just before the host's next poll. It replaces a command that
+    /// is still queued for the host, and is dropped if the host isn't watched.
     void send(const WorkerCommand &command, std::string body);
+    /// Sets the platform's host list, which tells which hosts are leaving.
     void setHostList(const HostList &list);
+    /// Returns the latest observation of each watched host. Its health is Unknown if it is too old.
     std::map<HostId, HostObservation> observations(Instant now) const;
+    /// Returns the number of polls since the start.
     std::uint64_t pollCount() const;
 
 private:
@@ -55,9 +61,11 @@
     };
 
     void run();
+    /// Waits until a host is due and marks it as being polled. Returns nothing at a stop.
     std::optional<PollTask> takePollTask();
-    void execute(const PollTask &job);
+    void execute(const PollTask &task);
     Millis steadyPollPeriod() const;
+    /// Stores the result of a poll; no observation means that the worker didn't respond.
     void record(HostId host, const std::optional<HostObservation> &observation);
 
     WorkerClient m_client;
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 4000; // bytes; a pipe takes this much whole or not at all
+constexpr std::size_t kMaxLineBytes = 4000; // Writes to a pipe are atomic up to 4096 bytes
 
 std::string &entryHostName()
 {
@@ -31,7 +31,8 @@
     return count;
 }
 
-/// Allows kLogLinesPerSecond lines a second, and as many at once after a quiet second.
+/// Token bucket: allows kLogLinesPerSecond lines per second, and a burst of as many lines after a
+/// second without any.
 class LineRateLimiter
 {
 public:
@@ -55,7 +56,7 @@
     double m_availableLines = kLogLinesPerSecond;
 };
 
-/// Writes lines to standard output unless its reader is behind.
+/// Writes lines to standard output, and drops a line if the output is not ready for writing.
 class NonBlockingSink : public el::LogDispatchCallback
 {
 protected:
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kMillisPerSecond = 1000;
 constexpr int kStatusClassSize = 100;
-constexpr const char *kResponseLatencyName = "answer_seconds"; // to callers
+constexpr const char *kResponseLatencyName = "answer_seconds"; // Latency of responses to callers
 
 auto latencyAxis()
 {
@@ -46,26 +46,26 @@
                         Latency{boost::histogram::make_histogram(latencyAxis())});
 }
 
-void Metrics::countResponse(int status, Millis took)
+void Metrics::countResponse(int status, Millis duration)
 {
     const std::lock_guard lock(m_mutex);
-    addLatency(kResponseLatencyName, took);
+    addLatency(kResponseLatencyName, duration);
     ++m_responses[status / kStatusClassSize];
 }
 
-void Metrics::observe(const std::string &name, Millis took)
+void Metrics::observe(const std::string &name, Millis duration)
 {
     const std::lock_guard lock(m_mutex);
-    addLatency(name, took);
+    addLatency(name, duration);
 }
 
-void Metrics::addLatency(const std::string &name, Millis took)
+void Metrics::addLatency(const std::string &name, Millis duration)
 {
     auto found = m_latencies.find(name);
     if (found == m_latencies.end())
         found = m_latencies.emplace(name, Latency{boost::histogram::make_histogram(latencyAxis())})
                     .first;
-    const auto milliseconds = static_cast<double>(took.count());
+    const auto milliseconds = static_cast<double>(duration.count());
     found->second.histogram(milliseconds);
     found->second.sum += milliseconds / kMillisPerSecond;
 }
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -15,8 +15,9 @@
 
 namespace oleanderhall {
 
-/// Internal: the daemon's counters and histograms, rendered in the Prometheus text format. Every
-/// refusal and retry reason has a counter from the start. Its mutex is the last in the lock order.
+/// Internal: the daemon's counters, gauges and histograms, rendered in the Prometheus text format.
+/// Every refusal and retry reason has a counter from the start. May be used by any thread; its
+/// mutex is the last in the lock order.
 class Metrics
 {
 public:
@@ -25,13 +26,15 @@
     void countRefusal(RefusalReason reason) { ++m_refusals[static_cast<std::size_t>(reason)]; }
     void countRetry(RetryReason reason) { ++m_retries[static_cast<std::size_t>(reason)]; }
     void countFirstAttempt() { ++m_firstAttempts; }
-    void countResponse(int status, Millis took);
+    /// Counts a response to a caller by the class of its status and records its latency.
+    void countResponse(int status, Millis duration);
     /// Adds `amount` to the counter `name`, which should end in `_total`.
     void count(const std::string &name, std::uint64_t amount = 1);
     /// Sets the gauge `name`.
     void gauge(const std::string &name, double value);
-    /// Adds `took` to the latency histogram `name`, which should end in `_seconds`.
-    void observe(const std::string &name, Millis took);
+    /// Records `duration` in the latency histogram `name`, which should end in `_seconds`.
+    void observe(const std::string &name, Millis duration);
+    /// Returns all metrics in the Prometheus text format.
     std::string text() const;
 
 private:
@@ -48,7 +51,7 @@
         double sum = 0; ///< In seconds.
     };
 
-    void addLatency(const std::string &name, Millis took);
+    void addLatency(const std::string &name, Millis duration);
 
     std::map<std::string, Latency> m_latencies;
     std::map<int, std::uint64_t> m_responses;
--- a/src/daemon/operatorapi.cpp
+++ b/src/daemon/operatorapi.cpp
@@ -30,7 +30,7 @@
 OperatorResponse findingsResponse(const FindingList &findings)
 {
     OperatorResponse response = errorResponse(kUnprocessableContent,
-                                              "the document has faults; nothing was changed");
+                                              "the document is invalid; nothing was changed");
     value list = value::array(findings.items().size());
     for (std::size_t index = 0; index < findings.items().size(); ++index) {
         const Finding &finding = findings.items()[index];
@@ -112,7 +112,7 @@
         return move(call);
     if (call.method == "POST" && resource == "waves")
         return changeWave(call);
-    return errorResponse(kNotFound, "no such call: " + call.method + " " + resource);
+    return errorResponse(kNotFound, "no such operation: " + call.method + " " + resource);
 }
 
 OperatorResponse OperatorApi::status()
@@ -167,22 +167,23 @@
     OperatorResponse response;
     value steps = value::array();
     std::size_t count = 0;
-    const auto waiting = m_controller.waitReasons();
+    const auto waitReasons = m_controller.waitReasons();
     m_controller.withState([&](const FleetState &state) {
         for (const auto &[id, record] : state.hosts()) {
             const HostSpec *spec = state.spec(id);
-            const bool belongs = spec && spec->pool == record.pool;
-            if (belongs && record.state == HostState::Serving && !waiting.contains(id))
+            const bool isInConfiguredPool = spec && spec->pool == record.pool;
+            if (isInConfiguredPool && record.state == HostState::Serving
+                && !waitReasons.contains(id))
                 continue;
             value step = value::object();
             step["host"] = value::string(id.name());
             step["pool"] = value::string(record.pool.name());
             step["state"] = value::string(std::string(nameOf(record.state)));
             step["disruption"] = value::string(std::string(nameOf(record.disruption)));
-            if (!belongs)
+            if (!isInConfiguredPool)
                 step["target"] = value::string(spec ? spec->pool.name() : "removed");
-            if (waiting.contains(id))
-                step["waiting"] = value::string(waiting.at(id));
+            if (waitReasons.contains(id))
+                step["waiting"] = value::string(waitReasons.at(id));
             steps[count++] = step;
         }
     });
@@ -194,7 +195,9 @@
 {
     const std::optional<RequestTrace> trace = m_traces.find(requestId);
     if (!trace)
-        return errorResponse(kNotFound, "request '" + requestId + "' is not among the latest here");
+        return errorResponse(kNotFound,
+                             "request '" + requestId
+                                 + "' is not among the recent requests of this entry host");
     OperatorResponse response;
     response.body["entry"] = value::string(m_settings.id.name());
     response.body["service"] = value::string(trace->service);
--- a/src/daemon/operatorapi.h
+++ b/src/daemon/operatorapi.h
@@ -11,29 +11,31 @@
 
 class RequestTraces;
 
-/// Internal: an operator's call without its transport.
+/// Internal: an operator's call, independent of the transport.
 struct OperatorCall
 {
     std::string method;
-    std::vector<std::string> path;
+    std::vector<std::string> path; ///< Segments after `/v1`.
     std::string body;
     bool isDryRun = false;
 };
 
-/// Internal: the answer to an OperatorCall.
+/// Internal: the response to an OperatorCall.
 struct OperatorResponse
 {
-    int status = 200;
+    int status = 200; ///< HTTP status code.
     web::json::value body = web::json::value::object();
 };
 
-/// Internal: what operators can ask of an entry host and change through it.
+/// Internal: the operators' API of an entry host: status queries, and changes of the configuration,
+/// of the pools of hosts and of maintenance waves.
 class OperatorApi
 {
 public:
     OperatorApi(const Settings &settings, Controller &controller, const RequestTraces &traces);
 
-    /// Answers a call. Never throws; every failure is an answer that says what was changed.
+    /// Executes a call. Never throws: the response to a failed call contains the error and whether
+    /// anything may have been changed.
     OperatorResponse handle(const OperatorCall &call);
 
 private:
@@ -41,7 +43,8 @@
     OperatorResponse status();
     OperatorResponse config();
     OperatorResponse applyConfig(const OperatorCall &call);
-    /// Commits what `propose` returns, or only asks it when the call is a dry run.
+    /// Commits the entry that `propose` returns. In a dry run, only calls `propose` to validate the
+    /// change.
     OperatorResponse submit(const OperatorCall &call, const Controller::Proposer &propose);
     OperatorResponse move(const OperatorCall &call);
     OperatorResponse changeWave(const OperatorCall &call);
--- a/src/daemon/operatorchanges.cpp
+++ b/src/daemon/operatorchanges.cpp
@@ -1,4 +1,4 @@
-// The operators' calls that change something.
+// The calls of the operators' API that change the fleet's state.
 #include "operatorapi.h"
 
 #include "controller.h"
@@ -36,7 +36,8 @@
     throw InvalidDocument(std::move(findings));
 }
 
-/// Returns the entry that accepts `candidate` on top of `state`, or nothing when it is in force.
+/// Returns the entry that changes the configuration of `state` to `candidate`, or nothing if they
+/// are equal. Throws InvalidDocument if the transition is not allowed.
 std::optional<LogEntry> makeConfigEntry(const FleetState &state, const Register &candidate,
                                         const std::string &reason)
 {
@@ -65,7 +66,7 @@
         base = {static_cast<std::uint64_t>(cursor.number("base", 0, kMaxInteger))};
         reason = cursor.textOr("reason", "applied by an operator");
         if (!cursor.value().has_field("register") || !cursor.value().has_field("rules"))
-            throwFinding("", "lacks a document", "register and rules");
+            throwFinding("", "a document is missing", "register and rules");
         candidate = parseRegister({"register", cursor.value().at("register").serialize()},
                                   {"rules", cursor.value().at("rules").serialize()});
     });
--- a/src/daemon/operatorserver.cpp
+++ b/src/daemon/operatorserver.cpp
@@ -59,10 +59,11 @@
             try {
                 call.body = body.get();
             } catch (const std::exception &) {
-                return; // The operator went away in the middle of the call.
+                return; // The connection was closed before the whole body was received.
             }
             call.isDryRun = request.relative_uri().query() == "dryRun=1";
-            // A call blocks on the platform, whose client needs the threads that run this.
+            // A call blocks on the platform's client, which needs the thread pool that runs this
+            // continuation, so calls run on threads of their own.
             boost::asio::post(callThreads, [this, request, call]() mutable {
                 const OperatorResponse response = api.handle(call);
                 request.reply(static_cast<web::http::status_code>(response.status), response.body);
--- a/src/daemon/operatorserver.h
+++ b/src/daemon/operatorserver.h
@@ -11,12 +11,12 @@
 class Metrics;
 class OperatorApi;
 
-/// Internal: the operators' side of the entry host: health, metrics and the operators' calls, on an
-/// address of its own that callers don't reach.
+/// Internal: the HTTP server for operators: health checks, metrics and the operators' API. It
+/// listens on an address of its own, separate from that for callers.
 class OperatorServer
 {
 public:
-    /// Starts to listen. Throws when the address can't be had.
+    /// Starts to listen on `address`. Throws if the address can't be bound.
     OperatorServer(const SocketAddress &address, OperatorApi &api, Metrics &metrics,
                    std::function<bool()> isReady);
     ~OperatorServer();
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -46,27 +46,36 @@
     addOption(app, "--objects", settings.objectsUrl, "URL of the platform's object store");
     addOption(app, "--host-list", settings.hostListUrl, "URL of the platform's host list");
     addOption(app, "--workers", settings.workersUrl, "URL of the platform's workers");
-    addOption(app, "--threads", settings.threads, "Worker threads");
-    addOption(app, "--max-connections", settings.maxConnections, "Connections from callers");
-    addOption(app, "--max-waiting", settings.maxWaiting, "Requests of one service that may wait");
-    addOption(app, "--max-body-bytes", settings.maxBodyBytes, "Largest request body in bytes");
+    addOption(app, "--threads", settings.threads, "Number of threads that serve requests");
+    addOption(app, "--max-connections", settings.maxConnections,
+              "Maximum number of connections from callers");
+    addOption(app, "--max-waiting", settings.maxWaiting,
+              "Maximum number of waiting requests per service");
+    addOption(app, "--max-body-bytes", settings.maxBodyBytes,
+              "Maximum size of a request body in bytes");
     addOption(app, "--max-header-bytes", settings.maxHeaderBytes,
-              "Largest request header in bytes");
+              "Maximum size of a request header in bytes");
     addOption(app, "--max-buffered-bytes", settings.maxBufferedBytes,
-              "All request bodies in bytes");
-    addOption(app, "--header-time-ms", raw.headerTimeoutMs, "Time for a request header");
-    addOption(app, "--body-time-ms", raw.bodyTimeoutMs, "Time for a request body");
-    addOption(app, "--idle-time-ms", raw.idleTimeoutMs, "Time for which a connection may be idle");
+              "Maximum size of all buffered request bodies in bytes");
+    addOption(app, "--header-time-ms", raw.headerTimeoutMs,
+              "Time limit for reading a request header in milliseconds");
+    addOption(app, "--body-time-ms", raw.bodyTimeoutMs,
+              "Time limit for reading a request body in milliseconds");
+    addOption(app, "--idle-time-ms", raw.idleTimeoutMs,
+              "Time in milliseconds after which an idle connection is closed");
     addOption(app, "--answer-time-ms", raw.responseTimeoutMs,
-              "Time for a caller to take its answer");
-    addOption(app, "--retry-percent", settings.retryPercent, "Retries in percent of first tries");
+              "Time limit for writing a response in milliseconds");
+    addOption(app, "--retry-percent", settings.retryPercent,
+              "Maximum number of retries in percent of first attempts");
     addOption(app, "--tick-ms", raw.tickMs, "Time between two control steps in milliseconds");
     addOption(app, "--view-lease-ms", raw.viewLeaseMs,
-              "Age at which a view lapses in milliseconds");
-    addOption(app, "--platform-timeout-ms", raw.platformTimeoutMs, "Time limit of a platform call");
-    addOption(app, "--stop-notice-ms", raw.stopNoticeMs, "Time between 'not ready' and the stop");
+              "Age at which a view expires in milliseconds");
+    addOption(app, "--platform-timeout-ms", raw.platformTimeoutMs,
+              "Time limit of a platform call in milliseconds");
+    addOption(app, "--stop-notice-ms", raw.stopNoticeMs,
+              "Time between 'not ready' and the stop in milliseconds");
     addOption(app, "--stop-limit-ms", raw.stopLimitMs,
-              "Longest time for requests in flight at a stop");
+              "Time limit for requests in flight at a stop in milliseconds");
 }
 
 void checkText(const std::string &value, const char *flag, FindingList &findings)
@@ -94,16 +103,16 @@
 {
     constexpr int kMaxThreads = 64;
     constexpr int kMaxConnections = 100000;
-    constexpr int kMaxBody = 64 << 20;
-    constexpr int kMaxHeader = 1 << 20;
-    constexpr int kMaxBuffered = 1 << 30;
+    constexpr int kMaxBodyBytes = 64 << 20;
+    constexpr int kMaxHeaderBytes = 1 << 20;
+    constexpr int kMaxBufferedBytes = 1 << 30;
     constexpr int kMaxMillis = 3600000;
     checkRange(settings.threads, 1, kMaxThreads, "--threads", findings);
     checkRange(settings.maxConnections, 1, kMaxConnections, "--max-connections", findings);
     checkRange(settings.maxWaiting, 0, kMaxConnections, "--max-waiting", findings);
-    checkRange(settings.maxBodyBytes, 0, kMaxBody, "--max-body-bytes", findings);
-    checkRange(settings.maxHeaderBytes, 1024, kMaxHeader, "--max-header-bytes", findings);
-    checkRange(settings.maxBufferedBytes, 0, kMaxBuffered, "--max-buffered-bytes", findings);
+    checkRange(settings.maxBodyBytes, 0, kMaxBodyBytes, "--max-body-bytes", findings);
+    checkRange(settings.maxHeaderBytes, 1024, kMaxHeaderBytes, "--max-header-bytes", findings);
+    checkRange(settings.maxBufferedBytes, 0, kMaxBufferedBytes, "--max-buffered-bytes", findings);
     checkRange(raw.headerTimeoutMs, 1, kMaxMillis, "--header-time-ms", findings);
     checkRange(raw.bodyTimeoutMs, 1, kMaxMillis, "--body-time-ms", findings);
     checkRange(raw.idleTimeoutMs, 1, kMaxMillis, "--idle-time-ms", findings);
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -11,7 +11,7 @@
 
 namespace oleanderhall {
 
-/// Internal: an IP number and a port.
+/// Internal: an IP address and a port.
 struct SocketAddress
 {
     std::string address;
@@ -20,7 +20,7 @@
     std::string text() const { return address + ":" + std::to_string(port); }
 };
 
-/// Internal: everything that an entry host learns from its flags and environment.
+/// Internal: the settings of an entry host, read from flags and environment variables.
 struct Settings
 {
     EntryId id;
@@ -28,8 +28,9 @@
     SocketAddress callers;
     SocketAddress operators;
     SocketAddress peers;
-    SocketAddress advertised; ///< Where other entry hosts reach `peers`.
-    std::vector<SocketAddress> seeds; ///< Other entry hosts to ask while the platform is away.
+    SocketAddress advertised; ///< Address at which other entry hosts reach `peers`.
+    std::vector<SocketAddress>
+        seeds; ///< Entry hosts to load the view from while the table is unavailable.
     std::string tableUrl;
     std::string objectsUrl;
     std::string hostListUrl;
@@ -52,11 +53,12 @@
     Millis stopLimit{30000};
 };
 
-/// Internal: reads flags and environment variables. Returns nothing when the program should end,
-/// with the exit code in `exitCode`. All findings are printed together.
+/// Internal: parses flags and environment variables. Returns nothing if the program should exit,
+/// and sets `exitCode` to the exit code. Prints all findings to standard error.
 std::optional<Settings> parseSettings(int argc, const char *const *argv, int &exitCode);
 
-/// Internal: parses "127.0.0.1:8080" and reports a finding at `flag` when it is something else.
+/// Internal: parses an address such as "127.0.0.1:8080". Adds a finding at `flag` if `text` is
+/// invalid.
 SocketAddress parseSocketAddress(const std::string &text, const std::string &flag,
                                  FindingList &findings);
 
--- a/src/daemon/settingsparser.h
+++ b/src/daemon/settingsparser.h
@@ -11,15 +11,15 @@
 
 namespace oleanderhall {
 
-// Internal: what the daemons' settings have in common.
+// Internal: command line parsing shared by the daemons.
 
-/// Internal: the exit code of a daemon whose settings can't be used.
+/// Internal: the exit code of a daemon whose settings are invalid.
 inline constexpr int kInvalidSettings = 2;
-/// Internal: the document that findings about settings name.
+/// Internal: the `file` of findings about settings.
 inline constexpr const char *kSettingsSource = "settings";
 
-/// Internal: adds an option with its default in the help and an environment variable, which is
-/// OLEANDERHALL_ and the flag's name in capitals.
+/// Internal: adds an option whose help text shows its default, and which can also be set by an
+/// environment variable: OLEANDERHALL_ and the flag's name in capitals, with '_' for '-'.
 template <typename Value>
 void addOption(CLI::App &app, const char *flag, Value &target, const char *help)
 {
@@ -29,9 +29,9 @@
     app.add_option(flag, target, help)->capture_default_str()->envname(name);
 }
 
-/// Internal: parses the command line with the options that `addOptions` adds, and lets `fill` check
-/// the raw values and fill the settings. Returns nothing when the program should end, with the exit
-/// code in `exitCode`. All findings are printed together.
+/// Internal: parses the command line with the options that `addOptions` adds, then calls `fill`,
+/// which validates the raw values and fills the settings. Returns nothing if the program should
+/// exit, and sets `exitCode` to the exit code. Prints all findings to standard error.
 template <typename Settings, typename Raw, typename AddOptions, typename Fill>
 std::optional<Settings> parseCommandLine(const char *title, int argc, const char *const *argv,
                                          int &exitCode, AddOptions addOptions, Fill fill)
--- a/src/daemon/stalebase.h
+++ b/src/daemon/stalebase.h
@@ -8,7 +8,9 @@
 
 namespace oleanderhall {
 
-/// Internal: thrown when another operator's change came first.
+/// Internal: thrown when a change of the configuration is not based on its current version, because
+/// another change was committed first. Contains the current version and the difference between the
+/// current and the proposed configuration.
 class StaleBase : public std::runtime_error
 {
 public:
--- a/src/daemon/wakeup.h
+++ b/src/daemon/wakeup.h
@@ -7,7 +7,8 @@
 
 namespace oleanderhall {
 
-/// Internal: lets one thread sleep until a time or until another thread wakes it.
+/// Internal: lets one thread sleep until a deadline or until another thread wakes it. A call of
+/// wake() while no thread sleeps ends the next sleep at once.
 class Wakeup
 {
 public:
--- a/tests/daemon/log_test.cpp
+++ b/tests/daemon/log_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Puts a pipe that nobody reads in the place of standard output.
+/// Replaces standard output by a pipe that is never read.
 class LogTest
 {
 protected:
@@ -36,7 +36,7 @@
 
 TEST_CASE_METHOD(LogTest, "Log_readerStopsReading_dropsLinesAndDoesNotBlock", "[log]")
 {
-    const std::string field(2000, 'x'); // 250 such lines do not fit into a pipe
+    const std::string field(2000, 'x'); // 250 such lines exceed the capacity of a pipe
     const unsigned long before = droppedLogLines();
     for (int line = 0; line < 250; ++line)
         logInfo("event", {{"field", field}});
