--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 4000; // Writes to a pipe are atomic up to 4096 bytes
+constexpr std::size_t
+    kMaxLineBytes = 4000; // Below PIPE_BUF: a pipe takes a line whole or not at all
 
 std::string &entryHostName()
 {
