--- a/src/daemon/hostwatcher.h
+++ b/src/daemon/hostwatcher.h
@@ -18,7 +18,8 @@
 namespace oleanderhall {
 
 /// Internal: sends commands to the workers on the hosts of the owned pools and polls their state,
-/// on threads of its own. An observation carries the sequence of the view at the start of its poll.
+/// on threads of its own. An observation carries the sequence of the view at the start of its poll,
+/// or at the end of the poll if the worker didn't respond.
 class HostWatcher
 {
 public:
