--- a/src/daemon/entryhost.cpp
+++ b/src/daemon/entryhost.cpp
@@ -30,12 +30,13 @@
 
 namespace {
 
-constexpr int kPlatformThreads = 8; // of the HTTP client and the operators' server
+constexpr int kPlatformThreads = 8; // Shared by the HTTP client and the operators' server
 constexpr int kMallocArenas = 2;
-constexpr Millis kHousekeeping{500};
-constexpr int kStoppedHard = 1;
+constexpr Millis kHousekeepingPeriod{500};
+constexpr Millis kStopPollPeriod{20};
+constexpr int kExitRequestsCutOff = 1;
 
-/// Blocks the stop signals in this thread and all that it starts later.
+/// Blocks the stop signals in this thread and in all threads that it starts later.
 sigset_t blockStopSignals()
 {
     sigset_t signals;
@@ -46,7 +47,7 @@
     return signals;
 }
 
-/// Waits for a stop signal at most `wait`; returns whether one came.
+/// Waits up to `wait` for a stop signal. Returns whether one was received.
 bool waitForStop(const sigset_t &signals, Millis wait)
 {
     constexpr long kNanosPerMilli = 1000000;
@@ -63,10 +64,10 @@
     limits.bodyBytes = static_cast<std::size_t>(settings.maxBodyBytes);
     limits.bufferedBytes = static_cast<std::size_t>(settings.maxBufferedBytes);
     limits.connections = settings.maxConnections;
-    limits.headerTimeout = settings.headerTime;
-    limits.bodyTimeout = settings.bodyTime;
-    limits.idleTimeout = settings.idleTime;
-    limits.responseTimeout = settings.answerTime;
+    limits.headerTimeout = settings.headerTimeout;
+    limits.bodyTimeout = settings.bodyTimeout;
+    limits.idleTimeout = settings.idleTimeout;
+    limits.responseTimeout = settings.responseTimeout;
     return limits;
 }
 
@@ -83,7 +84,7 @@
 public:
     explicit EntryHost(const Settings &settings)
         : m_settings(settings)
-        , m_work(boost::asio::make_work_guard(m_io))
+        , m_workGuard(boost::asio::make_work_guard(m_io))
         , m_table(settings.tableUrl, settings.platformTimeout)
         , m_routes(routerSettingsFrom(settings))
         , m_lease(settings.viewLease)
@@ -128,15 +129,15 @@
                  {"callers", m_settings.callers.text()},
                  {"operators", m_settings.operators.text()},
                  {"peers", m_settings.peers.text()}});
-        while (!waitForStop(signals, kHousekeeping))
-            keepHouse();
+        while (!waitForStop(signals, kHousekeepingPeriod))
+            runHousekeeping();
         return stop(signals);
     }
 
 private:
     bool isReady() const { return m_controller.hasView() && !m_isStopping; }
 
-    void keepHouse()
+    void runHousekeeping()
     {
         m_upstreams.closeIdle(std::chrono::steady_clock::now());
         const auto [inFlight, waiting] = m_routes.load();
@@ -147,8 +148,9 @@
         m_upstreams.setMaxConnections(m_routes.maxConnectionsPerUpstream());
     }
 
-    /// Not ready first, then no new connections, then what is in flight, then control, then the
-    /// end.
+    /// Stops in this order: reports 'not ready' and closes each connection after its next response;
+    /// after the stop notice, closes the callers' listener and waits for the requests in flight;
+    /// then stops the control loop. Returns the exit code.
     int stop(const sigset_t &signals)
     {
         logInfo("stopping");
@@ -157,23 +159,24 @@
         m_isDraining = true;
         m_callers->drain();
         if (waitForStop(signals, m_settings.stopNotice))
-            return stopHard();
+            return stopImmediately();
         m_callers->stop();
-        const Instant latest = std::chrono::steady_clock::now() + m_settings.stopLimit;
-        while (m_callers->requestsInFlight() > 0 && std::chrono::steady_clock::now() < latest) {
-            if (waitForStop(signals, Millis(20)))
-                return stopHard();
+        const Instant deadline = std::chrono::steady_clock::now() + m_settings.stopLimit;
+        while (m_callers->requestsInFlight() > 0 && std::chrono::steady_clock::now() < deadline) {
+            if (waitForStop(signals, kStopPollPeriod))
+                return stopImmediately();
         }
         m_controller.stop();
         logInfo("stopped", {{"cutOff", std::to_string(m_callers->requestsInFlight())}});
-        return m_callers->requestsInFlight() == 0 ? 0 : kStoppedHard;
+        return m_callers->requestsInFlight() == 0 ? 0 : kExitRequestsCutOff;
     }
 
-    int stopHard()
+    /// Ends the process without waiting for the requests in flight, after a second stop signal.
+    int stopImmediately()
     {
         logWarning("stopped_by_second_signal",
                    {{"cutOff", std::to_string(m_callers->requestsInFlight())}});
-        return kStoppedHard;
+        return kExitRequestsCutOff;
     }
 
     PeerSource peerSource()
@@ -188,7 +191,7 @@
 
     const Settings &m_settings;
     boost::asio::io_context m_io;
-    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
+    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_workGuard;
     Metrics m_metrics;
     RequestTraces m_traces;
     DynamoTable m_table;
--- a/src/daemon/hostwatcher.cpp
+++ b/src/daemon/hostwatcher.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr Millis kOftenPeriod{200};
-constexpr Millis kShortestSteadyPeriod{2000};
-constexpr Millis kPollSpacing{500}; // between polls of steady hosts, so that cost has a limit
-constexpr int kPeriodsUntilExpiry = 4;
-constexpr Millis kLongestIdle{100};
-constexpr int kFailuresUntilUnfit = 2;
+constexpr Millis kFrequentPollPeriod{200};
+constexpr Millis kMinSteadyPollPeriod{2000};
+// Limits polls of steady hosts to two per second in total.
+constexpr Millis kSteadyPollPeriodPerHost{500};
+constexpr int kPollPeriodsUntilExpiry = 4;
+constexpr Millis kMaxIdleWait{100};
+constexpr int kFailuresUntilUnhealthy = 2;
 
 Instant timeNow()
 {
@@ -42,14 +43,14 @@
 void HostWatcher::watch(const std::map<HostId, bool> &hosts)
 {
     const std::lock_guard lock(m_mutex);
-    std::erase_if(m_watches, [&hosts](const auto &item) {
-        return !hosts.contains(item.first) && !item.second.isBusy;
+    std::erase_if(m_watchedHosts, [&hosts](const auto &item) {
+        return !hosts.contains(item.first) && !item.second.isBeingPolled;
     });
-    for (const auto &[host, isOften] : hosts) {
-        Watch &watch = m_watches[host];
-        if (isOften && !watch.isOften)
-            watch.due = timeNow();
-        watch.isOften = isOften;
+    for (const auto &[host, isPolledOften] : hosts) {
+        WatchedHost &watched = m_watchedHosts[host];
+        if (isPolledOften && !watched.isPolledOften)
+            watched.nextPoll = timeNow();
+        watched.isPolledOften = isPolledOften;
     }
     m_changed.notify_all();
 }
@@ -57,8 +58,8 @@
 void HostWatcher::send(const WorkerCommand &command, std::string body)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_watches.find(command.host);
-    if (found == m_watches.end())
+    const auto found = m_watchedHosts.find(command.host);
+    if (found == m_watchedHosts.end())
         return;
     found->second.command = command;
     found->second.body = std::move(body);
@@ -67,100 +68,102 @@
 void HostWatcher::setHostList(const HostList &list)
 {
     const std::lock_guard lock(m_mutex);
-    m_list = list;
+    m_hostList = list;
 }
 
 std::map<HostId, HostObservation> HostWatcher::observations(Instant now) const
 {
     const std::lock_guard lock(m_mutex);
     std::map<HostId, HostObservation> result;
-    const Millis expiry = kPeriodsUntilExpiry * steadyPeriod();
-    for (const auto &[host, watch] : m_watches) {
-        HostObservation seen = watch.seen;
-        if (now - watch.seenAt > expiry)
-            seen.health = Health::Unknown;
-        const auto listed = m_list.find(host.name());
-        seen.leaving = listed != m_list.end() && listed->second == ListedState::Leaving;
-        result.emplace(host, seen);
+    const Millis expiry = kPollPeriodsUntilExpiry * steadyPollPeriod();
+    for (const auto &[host, watched] : m_watchedHosts) {
+        HostObservation observation = watched.observation;
+        if (now - watched.observationTime > expiry)
+            observation.health = Health::Unknown;
+        const auto listed = m_hostList.find(host.name());
+        observation.leaving = listed != m_hostList.end() && listed->second == ListedState::Leaving;
+        result.emplace(host, observation);
     }
     return result;
 }
 
-std::uint64_t HostWatcher::polls() const
+std::uint64_t HostWatcher::pollCount() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_polls;
+    return m_pollCount;
 }
 
 void HostWatcher::run()
 {
     for (;;) {
-        const std::optional<Job> job = takeJob();
-        if (!job)
+        const std::optional<PollTask> task = takePollTask();
+        if (!task)
             return;
-        perform(*job);
+        execute(*task);
     }
 }
 
-std::optional<HostWatcher::Job> HostWatcher::takeJob()
+std::optional<HostWatcher::PollTask> HostWatcher::takePollTask()
 {
     std::unique_lock lock(m_mutex);
     for (;;) {
         if (m_isStopping)
             return std::nullopt;
         const Instant now = timeNow();
-        for (auto &[host, watch] : m_watches) {
-            if (watch.isBusy || watch.due > now)
+        for (auto &[host, watched] : m_watchedHosts) {
+            if (watched.isBeingPolled || watched.nextPoll > now)
                 continue;
-            watch.isBusy = true;
-            watch.due = now + (watch.isOften ? kOftenPeriod : steadyPeriod());
-            ++m_polls;
-            return Job{host, std::exchange(watch.command, std::nullopt), std::move(watch.body)};
+            watched.isBeingPolled = true;
+            watched.nextPoll = now
+                + (watched.isPolledOften ? kFrequentPollPeriod : steadyPollPeriod());
+            ++m_pollCount;
+            return PollTask{host, std::exchange(watched.command, std::nullopt),
+                            std::move(watched.body)};
         }
-        m_changed.wait_for(lock, kLongestIdle);
+        m_changed.wait_for(lock, kMaxIdleWait);
     }
 }
 
-void HostWatcher::perform(const Job &job)
+void HostWatcher::execute(const PollTask &task)
 {
     const Sequence sequence = m_sequence();
     try {
-        if (job.command)
-            m_client.send(*job.command, job.body);
+        if (task.command)
+            m_client.send(*task.command, task.body);
     } catch (const std::exception &error) {
-        logWarning("worker_command_failed", {{"host", job.host.name()}, {"error", error.what()}});
+        logWarning("worker_command_failed", {{"host", task.host.name()}, {"error", error.what()}});
     }
     try {
-        HostObservation seen = m_client.observe(job.host);
-        seen.observedAt = sequence;
-        record(job.host, seen);
+        HostObservation observation = m_client.observe(task.host);
+        observation.observedAt = sequence;
+        record(task.host, observation);
     } catch (const std::exception &) {
-        record(job.host, std::nullopt);
+        record(task.host, std::nullopt);
     }
 }
 
-Millis HostWatcher::steadyPeriod() const
+Millis HostWatcher::steadyPollPeriod() const
 {
-    return std::max<Millis>(kShortestSteadyPeriod, kPollSpacing * m_watches.size());
+    return std::max<Millis>(kMinSteadyPollPeriod, kSteadyPollPeriodPerHost * m_watchedHosts.size());
 }
 
-void HostWatcher::record(HostId host, const std::optional<HostObservation> &seen)
+void HostWatcher::record(HostId host, const std::optional<HostObservation> &observation)
 {
     const Sequence sequence = m_sequence();
     const std::lock_guard lock(m_mutex);
-    Watch &watch = m_watches[host];
-    watch.isBusy = false;
-    if (seen) {
-        watch.failures = 0;
-        watch.seen = *seen;
-        watch.seenAt = timeNow();
+    WatchedHost &watched = m_watchedHosts[host];
+    watched.isBeingPolled = false;
+    if (observation) {
+        watched.failures = 0;
+        watched.observation = *observation;
+        watched.observationTime = timeNow();
         return;
     }
-    if (++watch.failures < kFailuresUntilUnfit)
+    if (++watched.failures < kFailuresUntilUnhealthy)
         return;
-    watch.seen.health = Health::Unhealthy;
-    watch.seen.observedAt = sequence;
-    watch.seenAt = timeNow();
+    watched.observation.health = Health::Unhealthy;
+    watched.observation.observedAt = sequence;
+    watched.observationTime = timeNow();
 }
 
 } // namespace oleanderhall
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -88,7 +88,7 @@
 asio::awaitable<Reply> Dispatcher::dispatch(Call call)
 {
     Progress progress;
-    m_deps.metrics.countFirstTry();
+    m_deps.metrics.countFirstAttempt();
     {
         const std::lock_guard lock(m_budgetMutex);
         m_budget.countFirstAttempt(timeNow());
@@ -239,7 +239,7 @@
         record.hasStoredBody = true;
         m_deps.claims.recordOutcome(*progress.claim, std::move(record));
     }
-    m_deps.metrics.countAnswer(reply.status, elapsedSince(call.received));
+    m_deps.metrics.countResponse(reply.status, elapsedSince(call.received));
     return reply;
 }
 
@@ -255,7 +255,7 @@
     }
     progress.steps.push_back("refused " + std::string(nameOf(refusal.reason)));
     m_deps.metrics.countRefusal(refusal.reason);
-    m_deps.metrics.countAnswer(statusOf(refusal.reason), elapsedSince(call.received));
+    m_deps.metrics.countResponse(statusOf(refusal.reason), elapsedSince(call.received));
     return problemReply(refusal);
 }
 
--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -111,8 +111,8 @@
 {
     const Instant received = monotonicNow();
     Reply reply = co_await route(request);
-    m_metrics.countAnswer(reply.status,
-                          std::chrono::duration_cast<Millis>(monotonicNow() - received));
+    m_metrics.countResponse(reply.status,
+                            std::chrono::duration_cast<Millis>(monotonicNow() - received));
     co_return reply;
 }
 
