--- a/include/oleanderhall/scheduling/callresult.h
+++ b/include/oleanderhall/scheduling/callresult.h
@@ -13,8 +13,8 @@
     TooLate, ///< The command's lease had expired when it arrived.
     NoCapacity,
     TicketRejected, ///< The queue's policy does not allow this worker, or the ticket expired.
-    Unhealthy, ///< The worker refused the command; it had no effect.
-    Invalid,
+    Unhealthy, ///< The worker is overloaded or unavailable; the command had no effect.
+    Invalid, ///< Any other refusal, or an answer that can't be decoded.
 };
 
 /// Returns the name that stands for `result` in logs.
--- a/include/oleanderhall/scheduling/decision.h
+++ b/include/oleanderhall/scheduling/decision.h
@@ -15,7 +15,8 @@
     const char *event = "";
     std::vector<std::pair<const char *, std::string>> fields;
     bool isWarning = false;
-    std::optional<Millis> elapsed; ///< Duration that ended with this decision, if measured.
+    /// Time since the job was accepted; recorded as a metric if set.
+    std::optional<Millis> elapsed;
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/scheduling/jobrank.h
+++ b/include/oleanderhall/scheduling/jobrank.h
@@ -25,9 +25,9 @@
 /// A JobRank orders jobs that compete for one pool; the lowest is placed first. Long-running jobs
 /// come before all others, then queues by priority. Within a queue, jobs that can still meet their
 /// objective come first, then late jobs whose result is still useful, then the rest. Jobs that are
-/// equal so far are ordered by value per remaining work, highest first. So started jobs are
-/// finished, and under overload many small jobs are in time where first come, first served would
-/// make all jobs late.
+/// equal so far are ordered by value per remaining work, highest first. This favours started jobs
+/// over new ones. Under overload it also lets many small jobs finish in time, where first come,
+/// first served would make all jobs late.
 struct JobRank
 {
     enum class Timeliness {
@@ -38,7 +38,8 @@
 
     int priority = 0;
     Timeliness timeliness = Timeliness::InTime;
-    double negatedValueDensity = 0; ///< Value per remaining core-second, times -1.
+    /// Value per remaining core-second, times -1. For an expired job, its age in seconds, times -1.
+    double negatedValueDensity = 0;
 
     friend auto operator<=>(const JobRank &, const JobRank &) = default;
 };
--- a/include/oleanderhall/scheduling/leaseclock.h
+++ b/include/oleanderhall/scheduling/leaseclock.h
@@ -27,8 +27,8 @@
     /// Returns the expiry of the longest lease that the worker is known to hold. A command that
     /// was not answered may have granted a longer one.
     Millis confirmedExpiry() const { return m_confirmedExpiry; }
-    /// Returns whether the worker's clock is certainly past every granted lease by `slack`, even if
-    /// it runs slow by the configured drift.
+    /// Returns whether, on the worker's clock, every granted lease expired more than `slack` ago,
+    /// even if that clock runs slow by the configured drift.
     bool allLeasesExpired(Instant now, Millis slack) const;
 
 private:
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -49,7 +49,8 @@
     void cancel(JobId id, Instant now);
     /// Cordons exactly these workers: they get no new tasks.
     void cordon(const std::set<WorkerId> &workers);
-    /// Records that a host command which ends all runs of the worker is in flight, or has failed.
+    /// Sets whether a host command that ends all runs of the worker is in flight. A command that
+    /// failed is no longer in flight.
     void setTerminating(WorkerId worker, bool isTerminating);
     /// Records that a host command has terminated the worker.
     void onWorkerTerminated(WorkerId worker, Instant now);
@@ -66,8 +67,8 @@
     void onProgressWritten(std::uint64_t batch, bool isDurable, Instant now);
 
     /// Returns the actions that are due at `now`; `wallClockMs` is the wall clock in milliseconds
-    /// since 1970. While ownership is in doubt, `maySendCommands` is false: then it only polls
-    /// workers, which also extends leases.
+    /// since 1970. While ownership is in doubt, `maySendCommands` is false; tick() then only
+    /// polls workers, which also extends leases.
     std::vector<SchedulerAction> tick(Instant now, std::int64_t wallClockMs,
                                       bool maySendCommands = true);
     /// Returns when to call tick() next if no event arrives before.
@@ -163,7 +164,7 @@
                    std::vector<SchedulerAction> &out);
     WorkerState *chooseWorker(const TrackedJob &job, const Occurrence &occurrence, int step,
                               const TrackedTask &task, Instant now);
-    void startRun(WorkerState &worker, TrackedJob &job, const TaskId &id, std::int64_t run,
+    void startRun(WorkerState &worker, TrackedJob &job, const TaskId &id, std::int64_t number,
                   Instant now, std::vector<SchedulerAction> &out);
     StartCommand makeStartCommand(WorkerState &worker, const TrackedJob &job, const WorkerRun &run,
                                   Instant now);
@@ -200,7 +201,7 @@
     std::optional<std::uint64_t> m_batchInFlight;
     std::vector<JobId> m_batchJobs; ///< Jobs updated by the write in flight.
     std::vector<JobId> m_batchDropped; ///< Jobs deleted by the write in flight.
-    Instant m_recordDue;
+    Instant m_recordDue; ///< No progress is written before this time.
     std::vector<Decision> m_decisions;
 };
 
--- a/include/oleanderhall/scheduling/scheduleraction.h
+++ b/include/oleanderhall/scheduling/scheduleraction.h
@@ -22,7 +22,7 @@
     Millis leaseExpiry{0}; ///< On the worker's clock.
 };
 
-/// Stops a run. A run that has not arrived yet is refused from then on.
+/// Stops a run. If its start command arrives later, the worker refuses it.
 struct StopCommand
 {
     WorkerId worker;
--- a/include/oleanderhall/scheduling/schedulersettings.h
+++ b/include/oleanderhall/scheduling/schedulersettings.h
@@ -14,8 +14,8 @@
     /// change of owner, so that runs survive one. Tasks of an unresponsive worker are started
     /// elsewhere only after this time.
     Millis workerLease{5000};
-    /// How long a task waits that an earlier owner may have started on a worker that this owner
-    /// can't read: the worker's lease plus the time for which an owner extends leases without
+    /// How long after a take-over a task is not started again if it may run on a worker that this
+    /// owner can't read: the worker's lease plus the time for which an owner extends leases without
     /// access to the table.
     Millis inheritedTaskDelay{7000};
     /// Jobs accepted within this time after a take-over count as possibly started by the earlier
--- a/include/oleanderhall/scheduling/ticketcache.h
+++ b/include/oleanderhall/scheduling/ticketcache.h
@@ -34,7 +34,7 @@
     /// Returns whether the policy service has denied `step` to `worker`.
     bool isDenied(const StepKey &step, WorkerId worker) const;
     /// Ends the pending request for `step`. Workers of `requested` without a ticket count as
-    /// denied; without an answer nothing changes for any worker.
+    /// denied; if `isAnswered` is false, tickets and denials stay as they are.
     void handleAnswer(const StepKey &step, const std::vector<WorkerId> &requested, bool isAnswered,
                       const std::vector<std::pair<WorkerId, std::string>> &tickets,
                       Instant validUntil);
--- a/include/oleanderhall/scheduling/trackedjob.h
+++ b/include/oleanderhall/scheduling/trackedjob.h
@@ -42,7 +42,7 @@
     std::vector<TrackedTask> tasks;
     int doneTasks = 0;
     int placedTasks = 0;
-    int gangFailures = 0; ///< Of all tasks of a gang together.
+    int gangFailures = 0; ///< Number of failed runs of all tasks of a gang together.
     std::int64_t lastGangRun = 0; ///< The run number that the gang's tasks share.
 
     bool isComplete() const { return doneTasks == static_cast<int>(tasks.size()); }
@@ -63,7 +63,7 @@
     JobState state = JobState::Queued;
     bool isCancelled = false;
     bool isInherited = false; ///< Accepted before this owner took over.
-    bool isReleased = false; ///< Its release is decided; it may not be recorded yet.
+    bool isReleased = false; ///< Its release is decided, but possibly not recorded yet.
     bool isReleaseInBatch = false; ///< The write in flight contains its release.
     bool isReleaseRecorded = false; ///< Its release is durable, so its tasks may start.
     Instant accepted;
--- a/include/oleanderhall/scheduling/workerstate.h
+++ b/include/oleanderhall/scheduling/workerstate.h
@@ -72,9 +72,11 @@
     std::int64_t lastRecordedEnd = 0; ///< The highest sequence whose effect is durable.
     std::int64_t lastAcknowledgedEnd = 0; ///< The highest sequence that the worker may discard.
     std::int64_t lastEndInBatch = 0; ///< Becomes `lastRecordedEnd` once the write is durable.
-    Instant avoidUntil; ///< It gets no new tasks before.
-    int timesAvoided = 0; ///< Since a task last succeeded here; each one doubles the time.
-    JobId lastFailedJob; ///< The worker is avoided when a run of another job fails next.
+    Instant avoidUntil; ///< It gets no new tasks before this time.
+    int timesAvoided = 0; ///< Since a task last succeeded here; each time doubles the delay.
+    /// The job of the last run that failed here. If a run of another job fails next, the worker is
+    /// avoided.
+    JobId lastFailedJob;
 
     Resources freeCapacity() const { return info.capacity - used; }
     bool acceptsNewTasks(Instant now) const
--- a/src/scheduling/congestionwindow.cpp
+++ b/src/scheduling/congestionwindow.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// The window halves when more than one command in this many times out. The loss of one of four
-/// availability zones explains a quarter of time-outs, so only more than that means congestion.
+/// The window halves when more than one in kCongestionDivisor commands times out. The loss of one
+/// of four availability zones makes a quarter of them time out, so only more than that means
+/// congestion.
 constexpr std::size_t kCongestionDivisor = 4;
 
 } // namespace
--- a/src/scheduling/runtimemodel.cpp
+++ b/src/scheduling/runtimemodel.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// The weight of a new observation, once enough were averaged with equal weights.
+// The lowest weight of a new observation. The first run times are averaged with equal weights,
+// until these fall to this value.
 constexpr double kObservationWeight = 0.05;
 constexpr int kManyTasks = 4;
 constexpr double kMaxEstimateRatio = 10; // keeps one bad estimate from distorting the mean
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -39,21 +39,21 @@
 {
     for (auto &[id, worker] : m_workers)
         worker.isListed = false;
-    for (const WorkerInfo &report : workers) {
-        auto found = m_workers.find(report.id);
+    for (const WorkerInfo &info : workers) {
+        auto found = m_workers.find(info.id);
         if (found == m_workers.end()) {
-            found = m_workers.emplace(report.id, WorkerState(report, m_settings.clockDrift)).first;
+            found = m_workers.emplace(info.id, WorkerState(info, m_settings.clockDrift)).first;
             found->second.nextPoll = now;
             logDecision({"worker_listed",
-                         {{"worker", report.id.name()},
-                          {"pool", report.pool.name()},
-                          {"address", report.address}}});
+                         {{"worker", info.id.name()},
+                          {"pool", info.pool.name()},
+                          {"address", info.address}}});
         }
         WorkerState &worker = found->second;
-        if (worker.info.isDraining != report.isDraining) {
-            logDecision({"worker_draining", {{"worker", report.id.name()}}});
+        if (worker.info.isDraining != info.isDraining) {
+            logDecision({"worker_draining", {{"worker", info.id.name()}}});
         }
-        worker.info = report;
+        worker.info = info;
         worker.isListed = true;
     }
     std::erase_if(m_workers, [](const auto &entry) {
@@ -79,9 +79,9 @@
     job.inheritedProgress = progress.tasks;
     job.isReleased = progress.isReleased;
     job.isReleaseRecorded = progress.isReleased;
-    const auto rule = m_queues.find(job.spec.queue.name);
-    if (rule != m_queues.end() && job.spec.config <= m_version)
-        job.spec.queue = rule->second;
+    const auto queue = m_queues.find(job.spec.queue.name);
+    if (queue != m_queues.end() && job.spec.config <= m_version)
+        job.spec.queue = queue->second;
     if (isFinal(job.state)) {
         job.ended = accepted;
         return;
@@ -110,13 +110,13 @@
 {
     Occurrence occurrence{.number = number};
     for (const StepSpec &step : job.spec.steps) {
-        TrackedStep run;
-        run.tasks.resize(static_cast<std::size_t>(step.count));
-        for (TrackedTask &task : run.tasks) {
+        TrackedStep trackedStep;
+        trackedStep.tasks.resize(static_cast<std::size_t>(step.count));
+        for (TrackedTask &task : trackedStep.tasks) {
             task.mayRunOnUnsyncedWorker = job.isInherited && job.isReleased;
             task.waitingSince = job.accepted;
         }
-        occurrence.steps.push_back(std::move(run));
+        occurrence.steps.push_back(std::move(trackedStep));
     }
     for (const TaskProgress &known : job.inheritedProgress) {
         if (known.occurrence != number || known.step < 0
--- a/src/scheduling/schedulerdemand.cpp
+++ b/src/scheduling/schedulerdemand.cpp
@@ -38,9 +38,9 @@
             if (job.isLongRunning()) {
                 for (const StepSpec &step : job.spec.steps) {
                     if (step.maxPerWorker > 0) {
-                        const int each = std::max(1, step.maxPerWorker);
+                        const int perWorker = std::max(1, step.maxPerWorker);
                         demands[pool].minHosts = std::max(demands[pool].minHosts,
-                                                          (step.count + each - 1) / each);
+                                                          (step.count + perWorker - 1) / perWorker);
                     }
                     if (!step.usesIdleCores)
                         demands[pool].longRunningCores += step.count
@@ -49,13 +49,14 @@
                 continue;
             }
             const double left = remainingWork(job, occurrence);
-            const double chain = std::chrono::duration<double>(
-                                     remainingCriticalPath(job, occurrence))
-                                     .count();
+            const double criticalPath = std::chrono::duration<double>(
+                                            remainingCriticalPath(job, occurrence))
+                                            .count();
             const double allowance = std::chrono::duration<double>(job.spec.queue.allowance)
                                          .count();
             const double horizon = std::max(
-                kMinHorizonSeconds, kObjectiveShare * (job.spec.queue.stretch * chain + allowance));
+                kMinHorizonSeconds,
+                kObjectiveShare * (job.spec.queue.stretch * criticalPath + allowance));
             loads[pool].work += left;
             loads[pool].weightedHorizon += left * horizon;
         }
--- a/src/scheduling/schedulerevents.cpp
+++ b/src/scheduling/schedulerevents.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Millis kCapacityRetryDelay{300}; // for a worker with less free capacity than assumed
+constexpr Millis kCapacityRetryDelay{300}; // if free capacity is less than assumed, or NotSent
 constexpr int kMaxAvoidDoublings = 4;
 
 } // namespace
@@ -81,8 +81,8 @@
                  true});
 }
 
-/// Returns the worker that a result is about, or nullptr if it is not known any more or has
-/// terminated.
+/// Returns the worker that a command or poll was sent to, or nullptr if it is not known any more.
+/// If `result` shows that it has terminated, drops its runs and returns nullptr.
 WorkerState *Scheduler::answeringWorker(WorkerId id, CallResult result, Instant now)
 {
     const auto found = m_workers.find(id);
@@ -136,7 +136,7 @@
         return;
     case CallResult::Unknown:
         run->mayHaveStarted = true;
-        worker.nextPoll = now; // one lost answer does not prove a fault; the poll tells
+        worker.nextPoll = now; // one lost answer does not prove a fault; the poll shows more
         break;
     case CallResult::NotSent:
         worker.nextPoll = now;
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -9,10 +9,12 @@
 namespace {
 
 constexpr std::int64_t kRunsPerGeneration = 1000;
-constexpr std::size_t kMaxUnplacedSteps = 40; // bounds the search of a full pool
+// Placement in a pool ends after this many steps without a start, which bounds the search of a full
+// pool.
+constexpr std::size_t kMaxUnplacedSteps = 40;
 constexpr double kMilliPerUnit = 1000;
-// Per pool. Released jobs must wait for earlier leases after a take-over, so more would delay more
-// jobs then.
+// Per pool. After a take-over, released jobs may have to wait until earlier leases have expired, so
+// a higher limit would delay more jobs.
 constexpr std::size_t kMaxJobsReleasedAhead = 12;
 constexpr std::size_t kMaxWorkersPerAdvice = 12; // each worker adds to the response time
 
@@ -21,11 +23,12 @@
 constexpr double kDataRackBonus = 100;
 constexpr double kMaintenancePenalty = 50; // only for long-running tasks
 // Per task of the same step on the worker beyond the first, if the step has a disruption budget.
+// Limits how many of its tasks the loss of one host ends.
 constexpr double kSameStepPenalty = 30.0;
 // Per serving run for a task on idle cores, and per run on idle cores for a serving task.
 constexpr double kMixedLoadPenalty = 20.0;
 constexpr double kFreeShareWeight = 10.0;
-constexpr int kInUseBonus = 5;
+constexpr int kInUseBonus = 5; // for a worker that has runs
 
 double seconds(Millis time)
 {
@@ -119,8 +122,9 @@
             continue;
         for (Occurrence &occurrence : job.occurrences) {
             for (int step = 0; step < static_cast<int>(occurrence.steps.size()); ++step) {
-                const TrackedStep &run = occurrence.steps[static_cast<std::size_t>(step)];
-                if (run.doneTasks + run.placedTasks >= static_cast<int>(run.tasks.size())
+                const TrackedStep &trackedStep = occurrence.steps[static_cast<std::size_t>(step)];
+                if (trackedStep.doneTasks + trackedStep.placedTasks
+                        >= static_cast<int>(trackedStep.tasks.size())
                     || !areDependenciesDone(job, occurrence, step))
                     continue;
                 result.push_back({.job = &job,
@@ -145,7 +149,7 @@
     std::set<ServiceId> busy;
     for (const JobId id : m_active)
         busy.insert(m_jobs.at(id).spec.queue.service);
-    // Starts with the pool after the one where the window was full the last time, so that every
+    // Starts with the pool after the one where the start window was full last time, so that every
     // pool gets its share of the start commands.
     std::vector<ServiceId> pools(busy.lower_bound(m_firstPool), busy.end());
     pools.insert(pools.end(), busy.begin(), busy.lower_bound(m_firstPool));
@@ -248,12 +252,12 @@
 void Scheduler::placeGang(TrackedJob &job, Occurrence &occurrence, int step, Instant now,
                           std::vector<SchedulerAction> &out)
 {
-    TrackedStep &run = occurrence.steps[static_cast<std::size_t>(step)];
-    if (run.placedTasks > 0)
+    TrackedStep &trackedStep = occurrence.steps[static_cast<std::size_t>(step)];
+    if (trackedStep.placedTasks > 0)
         return; // all tasks of a gang start together, after every earlier run has ended
-    std::int64_t next = run.lastGangRun;
+    std::int64_t next = trackedStep.lastGangRun;
     std::string checkpoint;
-    for (const TrackedTask &task : run.tasks) {
+    for (const TrackedTask &task : trackedStep.tasks) {
         if (!mayStart(job, task, now))
             return;
         next = std::max(next, task.lastRun);
@@ -262,8 +266,8 @@
     next = nextRunNumber(next);
     // Places the tasks one by one; if one does not fit, all placements are undone.
     std::vector<SchedulerAction> starts;
-    for (int index = 0; index < static_cast<int>(run.tasks.size()); ++index) {
-        TrackedTask &task = run.tasks[static_cast<std::size_t>(index)];
+    for (int index = 0; index < static_cast<int>(trackedStep.tasks.size()); ++index) {
+        TrackedTask &task = trackedStep.tasks[static_cast<std::size_t>(index)];
         task.checkpoint = checkpoint;
         WorkerState *worker = chooseWorker(job, occurrence, step, task, now);
         if (!worker) {
@@ -281,7 +285,7 @@
         }
         startRun(*worker, job, {job.spec.id, occurrence.number, step, index}, next, now, starts);
     }
-    run.lastGangRun = next;
+    trackedStep.lastGangRun = next;
     std::move(starts.begin(), starts.end(), std::back_inserter(out));
 }
 
@@ -324,7 +328,7 @@
         if (spec.isLongRunning && m_awaitingMaintenance.contains(id))
             score -= kMaintenancePenalty;
         if (spec.isLongRunning && spec.maxDisrupted >= 0)
-            score -= kSameStepPenalty * std::max(0, sameStep - 1); // limits the loss of one host
+            score -= kSameStepPenalty * std::max(0, sameStep - 1);
         const auto capacity = static_cast<double>(
             std::max<std::int64_t>(worker.info.capacity.milliCores, 1));
         const double free = static_cast<double>(worker.freeCapacity().milliCores) / capacity;
--- a/src/scheduling/schedulerstatus.cpp
+++ b/src/scheduling/schedulerstatus.cpp
@@ -15,7 +15,7 @@
 constexpr double kSlowDownAbove = 0.85;
 constexpr double kSpeedUpBelow = 0.6;
 constexpr int kSpeedUpStepPercent = 10;
-constexpr int kMinCpuLimitPercent = 10;
+constexpr int kMinCpuLimitPercent = 10; // a lower limit becomes 0
 constexpr Millis kCpuLimitInterval{500}; // a worker reports the load of the last half second
 
 } // namespace
@@ -118,10 +118,10 @@
     if (ended.sequence <= worker.lastHandledEnd)
         return;
     worker.lastHandledEnd = ended.sequence;
-    Instant confirmed{};
+    Instant runningSince{};
     if (WorkerRun *run = findRun(worker, ended.task, ended.run)) {
         const WorkerRun copy = *run;
-        confirmed = copy.runningSince;
+        runningSince = copy.runningSince;
         removeRun(worker, static_cast<std::size_t>(run - worker.runs.data()));
         unplace(copy, now);
     }
@@ -159,9 +159,9 @@
                 }
             }
         }
-        if (confirmed != Instant{})
+        if (runningSince != Instant{})
             m_runTimes.observe(job.spec.queue.name, spec.estimate,
-                               std::chrono::duration_cast<Millis>(now - confirmed));
+                               std::chrono::duration_cast<Millis>(now - runningSince));
         worker.lastFailedJob = {};
         worker.timesAvoided = 0;
         m_needsPlacement = true;
@@ -205,7 +205,8 @@
         const auto job = m_jobs.find(run.task.job);
         if (!spec || job == m_jobs.end() || spec->isGang)
             continue;
-        // Progress is reported in whole percent, so a long task may take a while to advance.
+        // Progress is reported in whole percent, so that of a long task may stay the same
+        // for a while: 4 % of the expected run time is allowed in addition.
         constexpr int kExpectedTimeDivisor = 25;
         const Millis expected = m_runTimes.expected(job->second.spec.queue.name, *spec);
         if (now - run.lastProgress < expected / kExpectedTimeDivisor + m_settings.stallTimeout)
--- a/tests/scheduling/jobrank_test.cpp
+++ b/tests/scheduling/jobrank_test.cpp
@@ -33,9 +33,9 @@
 /// The result of a simulation, as shares between 0 and 1.
 struct Served
 {
-    double value = 0; ///< Of the value of all jobs.
+    double value = 0; ///< Share of the value of all jobs; late but useful jobs count 7 %.
     double inTime = 0; ///< Finished within the objective.
-    double largestInTime = 0; ///< Of the largest tenth of the jobs.
+    double largestInTime = 0; ///< Share of the largest tenth of the jobs that is in time.
     double useful = 0; ///< Finished within three times the objective.
 };
 
@@ -69,7 +69,8 @@
     return rankOf(rankInputsOf(job, now, meanWork));
 }
 
-/// Returns the jobs of 40 s with bursts of 4.5 s every 18 s, like those of the users' queues.
+/// Returns the jobs that arrive within 40 s, with a burst of 4.5 s every 18 s as in the users'
+/// queues. The arrival rate is 4 * `perSecond` during a burst and 0.05 * `perSecond` otherwise.
 std::vector<LoadJob> bursts(unsigned seed, double perSecond)
 {
     std::mt19937 random(seed);
@@ -224,10 +225,10 @@
     JobRankInputs late = inTime;
     late.age = Millis(900);
     late.workLeft = 0.1;
-    JobRankInputs useless = late;
-    useless.age = Millis(9000);
+    JobRankInputs expired = late;
+    expired.age = Millis(9000);
     CHECK(rankOf(inTime) < rankOf(late));
-    CHECK(rankOf(late) < rankOf(useless));
+    CHECK(rankOf(late) < rankOf(expired));
 }
 
 TEST_CASE("JobRank_startedJob_comesBeforeOneLikeItThatIsNot", "[load]")
--- a/tests/scheduling/scheduler_property_test.cpp
+++ b/tests/scheduling/scheduler_property_test.cpp
@@ -135,14 +135,14 @@
         auto owner = std::make_unique<Owner>();
         owner->token = ++m_token;
         owner->scheduler = std::make_unique<Scheduler>(SchedulerSettings{}, m_token - 1, m_now);
-        std::vector<WorkerInfo> reports;
+        std::vector<WorkerInfo> infos;
         std::vector<WorkerId> expected;
         for (const auto &[id, worker] : m_workers) {
-            reports.push_back(worker.info);
+            infos.push_back(worker.info);
             if (worker.info.pool == ServiceId(kPool))
                 expected.push_back(id);
         }
-        owner->scheduler->setWorkers(reports, m_now);
+        owner->scheduler->setWorkers(infos, m_now);
         owner->scheduler->setExpectedWorkers(ServiceId(kPool), expected);
         for (const auto &[id, stored] : m_store) {
             owner->scheduler->addJob(stored.spec, stored.progress, true, m_now);
@@ -304,8 +304,8 @@
         const bool wasThere = worker.runs(command.task);
         const std::string id = textOf(command.task) + " run " + std::to_string(command.run);
         // Some jobs can never succeed, and other tasks fail at random.
-        const bool isHopeless = command.task.job.value % 9 == 0 && command.task.index == 0;
-        const bool fails = isHopeless || chance(0.03);
+        const bool neverSucceeds = command.task.job.value % 9 == 0 && command.task.index == 0;
+        const bool fails = neverSucceeds || chance(0.03);
         const Millis length(pick(50, 900));
         worker.needs[command.task] = {.milliCores = 1000};
         const CallResult result = worker.start(command, token, m_now, m_now + length,
@@ -316,10 +316,10 @@
         for (const auto &[other, peer] : m_workers) {
             if (other != worker.info.id && peer.runs(command.task))
                 violations.push_back(
-                    id + ": two runs at once, beside run "
+                    id + ": started while another worker has run "
                     + std::to_string(peer.runOf(command.task))
-                    + (peer.isReachable ? "" : " unreachable") + ", started with token "
-                    + std::to_string(token) + " of " + std::to_string(m_token) + ", "
+                    + (peer.isReachable ? "" : " (unreachable)") + ", with token "
+                    + std::to_string(token) + ", latest token " + std::to_string(m_token) + ", "
                     + std::to_string(
                         std::chrono::duration_cast<Millis>(m_now - m_lastTakeOver).count())
                     + " ms after the take-over");
@@ -327,7 +327,7 @@
         if (worker.used().milliCores > worker.info.capacity.milliCores)
             violations.push_back(id + ": exceeds the capacity of the worker");
         if (worker.info.pool != ServiceId(kPool))
-            violations.push_back(id + ": on a worker of another pool");
+            violations.push_back(id + ": started on a worker of another pool");
         if (m_recordedOutcomes[command.task].contains(RunOutcome::Done))
             violations.push_back(id + ": started after its completion was recorded");
         // A command that was sent in time and executed late can't be prevented; its run is stopped.
@@ -349,7 +349,7 @@
         const StepSpec &spec = m_store.at(task.job).spec.steps[step];
         for (int index = 0; index < spec.count; ++index) {
             if (!m_completedTasks.contains({task.job, 0, step, index}))
-                violations.push_back(id + ": before an earlier step was done");
+                violations.push_back(id + ": started before an earlier step was done");
         }
     }
 
--- a/tests/scheduling/scheduler_test.cpp
+++ b/tests/scheduling/scheduler_test.cpp
@@ -21,8 +21,8 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_inheritedTaskAndUnlistedWorkerExpected_waits",
                  "[scheduler]")
 {
-    // Guards against two concurrent runs of a task (TWICE, cal scale-1): a partitioned worker may
-    // lose its entry in service discovery while its runs go on.
+    // Guards against two concurrent runs of a task: a partitioned worker may lose its entry in
+    // service discovery while its runs go on.
     Scheduler successor(SchedulerSettings{}, 1, now);
     successor.setWorkers({makeWorker("w1", "pool", 8000)}, now);
     successor.setExpectedWorkers(ServiceId("pool"), {w1, w2});
@@ -49,7 +49,7 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_laterRunsEndReadFirst_countsTheEarlierOneToo",
                  "[scheduler]")
 {
-    // Guards against uncounted failures (BUDGET, cal trouble-1): a new owner polls workers in
+    // Guards against failures that do not count as attempts: a new owner polls workers in
     // any order, so the end of an earlier run may be reported after that of a later one.
     syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
@@ -70,8 +70,8 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_silentWorker_isGrantedNoLeaseAndItsRunsAreGivenUp",
                  "[scheduler]")
 {
-    // Guards against lost tasks (LOST, sui scale-1): the lease of a crashed worker was extended on
-    // and on, so its tasks were never started elsewhere.
+    // Guards against tasks that are never started elsewhere: the lease of a worker that had crashed
+    // was extended without end, so it never expired.
     syncAllWorkers();
     submit(makeJob(1, "pool", {makeStep(1, Millis(100))}));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -91,8 +91,8 @@
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_oneLostPoll_extendsTheLeaseAgain", "[scheduler]")
 {
-    // Guards against runs that lose their lease (AVAIL, cal trouble-3): lost answers let the lease
-    // of a busy worker expire.
+    // Guards against runs that end although their worker is healthy: after a lost answer to a poll,
+    // its lease was not extended again and expired.
     syncAllWorkers();
     submit(longRunningJob(1, 1, 1));
     const std::vector<StartCommand> starts = tick<StartCommand>();
--- a/tests/scheduling/schedulerbudget_test.cpp
+++ b/tests/scheduling/schedulerbudget_test.cpp
@@ -7,7 +7,8 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_twoTasksOfAStepOnOneWorker_maintenanceMustWait",
                  "[scheduler]")
 {
-    // Both tasks would end at the same time, which exceeds the budget (AVAIL, cal quiet-1).
+    // Guards against maintenance that exceeds a disruption budget: both tasks would end at the same
+    // time, although the step may miss only one.
     syncAllWorkers();
     submit(longRunningJob(1, 2, 1));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -20,7 +21,8 @@
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_tasksOnASilentWorker_maintenanceMustWait", "[scheduler]")
 {
-    // The runs may still be ready, so ending both would exceed the budget (AVAIL, cal trouble-3).
+    // Guards against maintenance that exceeds a disruption budget: the runs of a worker that does
+    // not answer may still be ready, so ending both would exceed it.
     syncAllWorkers();
     submit(longRunningJob(1, 2, 1));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -33,8 +35,8 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_evacuationOnASilentWorker_stopsOneTaskAtATime",
                  "[scheduler]")
 {
-    // A task that is being stopped counts as missing, whether its worker answers or not (AVAIL, sui
-    // trouble-3 seed 720643743220).
+    // Guards against an evacuation that exceeds a disruption budget (seed 720643743220): a task
+    // that is being stopped counts as missing, whether its worker answers or not.
     syncAllWorkers();
     submit(longRunningJob(1, 2, 1));
     const std::vector<StartCommand> starts = tick<StartCommand>();
@@ -54,12 +56,14 @@
 
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_taskJustStarted_maintenanceMustWait", "[scheduler]")
 {
-    // The task may have become ready since the last poll (AVAIL, sui hunt-ba63-19).
+    // Guards against maintenance that exceeds a disruption budget: the task may have become ready
+    // since the last poll.
     syncAllWorkers();
     submit(longRunningJob(1, 1, 0));
     const std::vector<StartCommand> starts = tick<StartCommand>();
     REQUIRE(starts.size() == 1);
-    CHECK_FALSE(scheduler.mayInterrupt(starts[0].worker)); // an answer may be lost
+    // The start is not answered yet, but the task may run already.
+    CHECK_FALSE(scheduler.mayInterrupt(starts[0].worker));
     confirm(starts);
     CHECK_FALSE(scheduler.mayInterrupt(starts[0].worker));
 }
@@ -75,7 +79,8 @@
     ActiveRun starting = readyRun(starts[1]);
     starting.progressPercent = 40;
     answerPoll(nextPoll(worker), {readyRun(starts[0]), starting});
-    // The task that is starting may be stopped. The ready one must stay until the other is ready.
+    // The task that is starting may be stopped. The ready one must not be stopped until the other
+    // is ready.
     for (int round = 0; round < 2; ++round) {
         scheduler.evacuate({worker}, now);
         for (const StopCommand &stop : tick<StopCommand>())
--- a/tests/scheduling/schedulerplacement_test.cpp
+++ b/tests/scheduling/schedulerplacement_test.cpp
@@ -87,7 +87,7 @@
 TEST_CASE_METHOD(SchedulerTest, "Scheduler_inheritedJobNotReleased_startsWithoutWaitingForLeases",
                  "[scheduler]")
 {
-    // Guards against needless delay after a change of owner (cal trouble-1): after the loss of the
+    // Guards against needless delay after a change of owner: after the loss of the
     // owner's availability zone, jobs that were never started waited 7 s for leases to expire.
     Scheduler successor(SchedulerSettings{}, 1, now);
     successor.setWorkers({makeWorker("w1", "pool", 8000), makeWorker("w2", "pool", 8000)}, now);
--- a/tests/support/fakefleet.cpp
+++ b/tests/support/fakefleet.cpp
@@ -74,13 +74,14 @@
     return CallResult::Ok;
 }
 
-void FakeWorker::end(std::size_t index, RunOutcome how)
+void FakeWorker::end(std::size_t index, RunOutcome outcome)
 {
     const FakeRun run = running[index];
     running.erase(running.begin() + static_cast<std::ptrdiff_t>(index));
     std::int64_t &closed = m_closedRuns[run.task];
     closed = std::max(closed, run.run);
-    ended.push_back({.sequence = ++m_lastEnd, .task = run.task, .run = run.run, .runOutcome = how});
+    ended.push_back(
+        {.sequence = ++m_lastEnd, .task = run.task, .run = run.run, .runOutcome = outcome});
 }
 
 void FakeWorker::step(Instant now)
--- a/tests/support/fakefleet.h
+++ b/tests/support/fakefleet.h
@@ -56,7 +56,8 @@
     std::map<TaskId, Resources> needs;
 
 private:
-    void end(std::size_t index, RunOutcome how);
+    void end(std::size_t index, RunOutcome outcome);
+    /// Returns whether `token` is outdated; otherwise accepts it.
     bool isFenced(std::int64_t token);
 
     Millis m_clockAhead{0};
--- a/tests/support/schedulerfixture.h
+++ b/tests/support/schedulerfixture.h
@@ -22,7 +22,8 @@
 
     void advance(Millis time) { now += time; }
 
-    /// Calls tick(), stores its writes and polls, and returns its actions of type `Action`.
+    /// Calls tick(), appends its writes and polls to `writes` and `polls`, and returns its actions
+    /// of type `Action`.
     template <typename Action>
     std::vector<Action> tick(bool maySendCommands = true)
     {
@@ -85,11 +86,11 @@
         return {};
     }
 
-    static JobSpec longRunningJob(std::uint64_t id, int count, int mayMiss)
+    static JobSpec longRunningJob(std::uint64_t id, int count, int maxDisrupted)
     {
         StepSpec step = makeStep(count, Millis(100));
         step.isLongRunning = true;
-        step.maxDisrupted = mayMiss;
+        step.maxDisrupted = maxDisrupted;
         return makeJob(id, "pool", {step});
     }
 
