--- a/include/oleanderhall/core/errors.h
+++ b/include/oleanderhall/core/errors.h
@@ -9,7 +9,7 @@
 
 namespace oleanderhall {
 
-/// Thrown when a document is rejected. It contains all findings. Nothing has been changed.
+/// Thrown when a document is rejected, with all findings. The document has had no effect.
 class InvalidDocument : public std::runtime_error
 {
 public:
--- a/include/oleanderhall/core/ids.h
+++ b/include/oleanderhall/core/ids.h
@@ -9,7 +9,7 @@
 using HostId = StrongId<struct HostTag>;
 /// Identifies a pool of hosts.
 using PoolId = StrongId<struct PoolTag>;
-/// Identifies a service, the first segment of a caller's path.
+/// Identifies a service. Its name is the first segment of a caller's path.
 using ServiceId = StrongId<struct ServiceTag>;
 /// Identifies an availability zone.
 using ZoneId = StrongId<struct ZoneTag>;
--- a/include/oleanderhall/jobs/jobcodec.h
+++ b/include/oleanderhall/jobs/jobcodec.h
@@ -7,7 +7,7 @@
 
 namespace oleanderhall {
 
-/// Returns `job` encoded as JSON for storage. Does not contain the job's id.
+/// Returns `job` encoded as JSON for storage. The text does not contain the job's id.
 std::string encodeJob(const JobSpec &job);
 /// Decodes what encodeJob() returned for the job `id`. Returns nothing if `text` is invalid.
 std::optional<JobSpec> decodeJob(JobId id, const std::string &text);
--- a/include/oleanderhall/jobs/jobprogress.h
+++ b/include/oleanderhall/jobs/jobprogress.h
@@ -38,7 +38,7 @@
     friend bool operator==(const JobProgress &, const JobProgress &) = default;
 };
 
-/// Returns `progress` encoded as JSON for storage. Does not contain the job's id.
+/// Returns `progress` encoded as JSON for storage. The text does not contain the job's id.
 std::string encodeProgress(const JobProgress &progress);
 /// Decodes what encodeProgress() returned for the job `id`. Returns nothing if `text` is invalid.
 std::optional<JobProgress> decodeProgress(JobId id, const std::string &text);
--- a/include/oleanderhall/jobs/jobspec.h
+++ b/include/oleanderhall/jobs/jobspec.h
@@ -20,7 +20,7 @@
     std::vector<StepSpec> steps;
     int occurrences = 0; ///< 0 for a job that runs once and immediately.
     std::int64_t firstDueMs = 0; ///< Start of occurrence 0, in milliseconds since 1970.
-    std::int64_t intervalMs = 0; ///< Between occurrences.
+    std::int64_t intervalMs = 0; ///< Between the starts of two occurrences.
     std::int64_t acceptedMs = 0; ///< On the table service's monotonic clock.
     bool isReleased = false; ///< The owner may start it without storing a release first.
 };
--- a/include/oleanderhall/jobs/stepspec.h
+++ b/include/oleanderhall/jobs/stepspec.h
@@ -12,7 +12,7 @@
 struct StepSpec
 {
     int count = 1; ///< The number of tasks.
-    Resources need; ///< Of each task. With `usesIdleCores`, the cores are not reserved.
+    Resources need; ///< Needs of one task. With `usesIdleCores`, no cores are reserved.
     Millis estimate{0}; ///< The caller's estimate of a task's run time; often inaccurate.
     std::vector<int> after; ///< Indexes of earlier steps that must be completed first.
     bool savesProgress = false; ///< Tasks write checkpoints and resume from the last one.
@@ -23,9 +23,9 @@
     bool usesIdleCores = false; ///< Tasks use only cores that other tasks leave idle.
     std::string requiredLabel; ///< A label that the worker must have; empty if any worker will do.
     std::string dataRack; ///< The rack that stores the input data; empty for none.
-    int maxPerWorker = 0; ///< Limit for tasks of one occurrence; 0 for none.
+    int maxPerWorker = 0; ///< Tasks of one occurrence on the same worker; 0 for no limit.
     std::string image;
-    Millis latencyTarget{0}; ///< For the tail latency of a serving task; 0 for none.
+    Millis latencyTarget{0}; ///< Target tail latency of a serving task; 0 for none.
     int maxDisrupted = -1; ///< Tasks that maintenance may disrupt at once; -1 for no limit.
 };
 
--- a/include/oleanderhall/jobs/storetimeestimator.h
+++ b/include/oleanderhall/jobs/storetimeestimator.h
@@ -24,7 +24,7 @@
 
 private:
     std::optional<Instant> m_sentAt; ///< Start of the transaction in flight.
-    Millis m_lastDuration{0}; ///< Of the last transaction.
+    Millis m_lastDuration{0}; ///< Duration of the last completed transaction.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/maintenance/hostinfo.h
+++ b/include/oleanderhall/maintenance/hostinfo.h
@@ -23,11 +23,11 @@
 enum class HostCommandResult {
     Done, ///< Carried out by this call or an earlier one; it ended all work then on the host.
     Busy, ///< The host is not up, or is about to be moved or maintained.
-    NotOfWave,
-    Fenced,
-    Invalid,
+    NotOfWave, ///< The host does not belong to the wave.
+    Fenced, ///< Rejected because of the fencing token: a newer owner has taken over.
+    Invalid, ///< Rejected as invalid; the same command would be rejected again.
     Refused, ///< Rejected before it was carried out, for example by a rate limit.
-    Unknown,
+    Unknown, ///< No conclusive answer; the command may have been carried out.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/maintenance/hostplanner.h
+++ b/include/oleanderhall/maintenance/hostplanner.h
@@ -22,7 +22,8 @@
     Millis maintenanceTime{2000}; ///< The longest time that a maintenance takes.
     Millis minStay{600}; ///< The time after a move or maintenance before the next command.
     Millis surplusTime{800}; ///< How long a pool has surplus hosts before they become spares.
-    Millis commandRetryDelay{300}; ///< After a command that was rejected or not answered.
+    /// The time before the next command to a host whose last one was rejected or not answered.
+    Millis commandRetryDelay{300};
     double usableShare = 0.85; ///< The share of a host's cores that placement can use.
     /// The fewest hosts of a pool that has work, so that some remain when a rack fails.
     int minHostsPerPool = 3;
@@ -52,15 +53,16 @@
         std::set<WorkerId> awaitingMaintenance;
         /// Workers whose long-running tasks should be moved to other workers, as budgets allow.
         std::set<WorkerId> evacuated;
-        /// Waves whose state is new or has changed: the number, and whether all hosts are done.
+        /// Waves that are new or have just been completed: the number, and whether it is completed.
         std::vector<std::pair<std::int64_t, bool>> waveStates;
     };
 
     explicit HostPlanner(HostPlannerSettings settings);
 
     void setPools(const std::vector<PoolConfig> &pools);
-    /// Replaces the known hosts by a complete list from the platform. A host keeps its
-    /// state while a command, move or maintenance is in progress, as the list may predate it.
+    /// Replaces the known hosts with a complete list from the platform. As the list may predate the
+    /// last command to a host, the host's entry is kept while the command is in flight, and during
+    /// its move or maintenance if the list still shows the host as up.
     void updateHosts(const std::vector<HostInfo> &hosts, Instant now);
     /// Plans no commands to `host` before `until`. A new owner calls it for hosts to which an
     /// earlier owner may just have sent a command.
@@ -88,24 +90,25 @@
     {
         HostInfo info;
         bool isCommandInFlight = false;
-        ServiceId targetPool; ///< Of the command in flight; empty for maintenance.
+        ServiceId targetPool; ///< Target of the last command; empty for maintenance.
         Instant nextCommandAt; ///< The earliest time of the next command.
         Instant unavailableUntil; ///< The expected end of the current move or maintenance.
-        std::set<ServiceId> rejectedPools; ///< Pools for which a move was invalid.
+        std::set<ServiceId> rejectedPools; ///< Pools to which a move was rejected as invalid.
     };
     struct WaveState
     {
         Wave wave;
         Instant firstSeen;
         std::set<HostId> started; ///< Hosts that need no further command.
-        std::map<HostId, Instant> unavailableUntil; ///< Hosts under maintenance.
+        std::map<HostId, Instant> unavailableUntil; ///< The expected end of each maintenance.
         bool isCompleted = false;
         bool isReported = false; ///< A plan has contained the wave's state.
     };
     struct PoolState
     {
         int desiredHosts = 0;
-        int currentHosts = 0; ///< Up, or about to join the pool.
+        /// Hosts that are up, moving or under maintenance, and hosts commanded to move to the pool.
+        int currentHosts = 0;
         double coresPerHost = 1;
     };
 
@@ -113,6 +116,7 @@
     void planWaves(const UsageLookup &usageOf, Instant now, Plan &plan);
     void planMoves(const PoolDemands &demands, const UsageLookup &usageOf, Instant now, Plan &plan);
     std::map<ServiceId, PoolState> poolStates(const PoolDemands &demands, Instant now) const;
+    /// Returns whether `pool` has a host that is in a wave and still needs a command for it.
     bool isMaintaining(ServiceId pool) const;
     Host *findFreeHost(ServiceId from, ServiceId to, const UsageLookup &usageOf, Instant now);
     void cordonLeastLoaded(ServiceId pool, int count, const UsageLookup &usageOf, Instant now,
--- a/include/oleanderhall/maintenance/wave.h
+++ b/include/oleanderhall/maintenance/wave.h
@@ -14,7 +14,7 @@
     std::int64_t number = 0;
     std::vector<HostId> hosts;
     Millis duration{0}; ///< Counted from the request.
-    int maxAtOnce = 1; ///< Hosts under maintenance at the same time.
+    int maxAtOnce = 1; ///< Limit for hosts under maintenance at the same time.
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/maintenance/workerendverifier.h
+++ b/include/oleanderhall/maintenance/workerendverifier.h
@@ -10,9 +10,9 @@
 
 /// A WorkerEndVerifier tells whether a host command that the platform reported as done has ended
 /// the worker process it was meant for. The platform also reports a repeated command as done,
-/// without carrying it out again; when an earlier owner sent the first one, the worker process now
-/// on the host started after it and is still running. A list of hosts that was requested after the
-/// command's answer distinguishes the two cases.
+/// without carrying it out again. If an earlier owner sent the first command, the worker process
+/// now on the host was started after that command and is still running. A list of hosts that was
+/// requested after the command's answer distinguishes the two cases.
 class WorkerEndVerifier
 {
 public:
@@ -27,8 +27,8 @@
     /// `answered`.
     void commandDone(HostId host, WorkerId worker, Instant answered);
     /// Checks the recorded workers against a complete list of hosts that was requested at
-    /// `requested`. Returns a verdict for each command that was answered earlier, and removes its
-    /// record.
+    /// `requested`. Returns a verdict for each command that was answered before `requested`, and
+    /// removes its record.
     std::vector<Verdict> verify(const std::vector<HostInfo> &hosts, Instant requested);
 
 private:
--- a/include/oleanderhall/membership/memberrow.h
+++ b/include/oleanderhall/membership/memberrow.h
@@ -15,7 +15,8 @@
     std::string peerAddress; ///< IP address and port for connections of other entry hosts.
     std::string incarnation; ///< Differs after each start of the process.
     std::uint64_t heartbeatCount = 0; ///< Increases with each heartbeat.
-    Sequence acknowledged; ///< It dispatches only with views of at least this sequence.
+    /// The entry host dispatches requests only with views of at least this sequence.
+    Sequence acknowledged;
     ConfigVersion config; ///< The configuration that it currently uses.
     bool leaving = false; ///< It is stopping as planned.
 
--- a/include/oleanderhall/ownership/ownership.h
+++ b/include/oleanderhall/ownership/ownership.h
@@ -32,7 +32,7 @@
     Millis margin{250};
     Millis renewInterval{500};
     /// The owner extends leases of running tasks until this long after its last renewal. Together
-    /// with the workers' lease this bounds how long an outage of the table running tasks survive,
+    /// with the workers' lease this bounds how long running tasks survive an outage of the table,
     /// and how long a new owner waits for workers that it can't reach.
     Millis leaseExtensionTime{3500};
     Millis retryDelay{150}; ///< The delay after a failed renewal or take-over.
@@ -46,9 +46,10 @@
     /// The extra wait of a process below kSufficientShare when the last owner was below it, too. It
     /// equals the longest jitter.
     Millis lowShareDelay{300};
-    /// A longer interval between two answers of the table means that this process had no contact,
-    /// and the owner's missing renewals are then not counted against it. The interval exceeds one
-    /// long poll without changes, including its time limit.
+    /// If the time between two answers of the table is longer than this, this process had no
+    /// contact with the table and may have missed renewals, so it waits for the owner's lease time
+    /// again before a take-over. The value exceeds the duration of one long poll without changes,
+    /// including its time limit.
     Millis maxContactGap{1600};
 };
 
--- a/src/jobs/jobcodec.cpp
+++ b/src/jobs/jobcodec.cpp
@@ -140,7 +140,7 @@
         job.isReleased = record.at("released").as_bool();
         return job;
     } catch (const std::exception &) {
-        return std::nullopt; // callers log it with the job's id
+        return std::nullopt; // callers log the error with the job's id
     }
 }
 
--- a/src/jobs/jobprogress.cpp
+++ b/src/jobs/jobprogress.cpp
@@ -68,7 +68,7 @@
         }
         return progress;
     } catch (const web::json::json_exception &) {
-        return std::nullopt; // callers log it with the job's id
+        return std::nullopt; // callers log the error with the job's id
     }
 }
 
--- a/src/maintenance/hostplanner.cpp
+++ b/src/maintenance/hostplanner.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kMilliPerCore = 1000;
-/// The share of a wave's duration that is reserved for hosts that are hard to free.
+/// The share of a wave's duration that is reserved for hosts whose tasks are hard to move or end.
 constexpr double kWaveTimeReserve = 0.35;
 
 } // namespace
@@ -172,7 +172,8 @@
             state.isCompleted = remaining.empty();
             plan.waveStates.emplace_back(number, state.isCompleted);
         }
-        // Idle hosts come first, then those whose tasks may be interrupted, then the least loaded.
+        // Idle hosts come first, then those that run only long-running tasks that may be
+        // interrupted, then the others, the least loaded first.
         std::vector<std::pair<double, Host *>> ranked;
         for (Host *host : remaining) {
             const WorkerUsage usage = usageOf(host->info.worker);
@@ -195,8 +196,8 @@
             if (!acceptsCommands(*host, now))
                 continue;
             const WorkerUsage usage = usageOf(host->info.worker);
-            // A worker whose state has not been read may run tasks; a host that is off has no
-            // worker.
+            // A worker whose state has not been read may run tasks, so its host must wait. A host
+            // without a worker is off and needs no such check.
             if (!usage.isKnown && !host->info.worker.empty())
                 continue;
             if (rank < 2 && usage.mayInterrupt) {
@@ -205,7 +206,8 @@
                 addCommand(*host,
                            {.host = host->info.id, .wave = number, .reason = "maintenance wave"},
                            plan);
-                // The budget check covers one interrupted host at a time.
+                // mayInterrupt considers each host alone, so a plan interrupts the tasks of at most
+                // one host of the wave.
                 if (!usage.isEmpty)
                     break;
             } else if (isBehind && unavailable + cordoned < state.wave.maxAtOnce
@@ -255,7 +257,8 @@
         PoolState &state = states[pool];
         const double desired = (demand.cores + demand.longRunningCores)
             / (state.coresPerHost * m_settings.usableShare);
-        // During maintenance, one host more than the number that tasks must be spread over.
+        // While hosts await maintenance, the pool needs one host more than the number that its
+        // tasks must be spread over.
         const int reserve = isMaintaining(pool) ? 1 : 0;
         const int fewest = std::max(m_settings.minHostsPerPool, demand.minHosts + reserve);
         state.desiredHosts = std::max(fewest, static_cast<int>(std::ceil(desired)));
--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -42,8 +42,8 @@
 Millis Ownership::takeOverDelay() const
 {
     // Before the first term there is no last owner to compare with.
-    const double wanted = m_term.version == 0 ? kSufficientShare : m_term.processorShare;
-    if (m_settings.processorShare < wanted * kEqualShareRatio)
+    const double requiredShare = m_term.version == 0 ? kSufficientShare : m_term.processorShare;
+    if (m_settings.processorShare < requiredShare * kEqualShareRatio)
         return m_settings.belowOwnerDelay;
     return m_settings.processorShare < kSufficientShare ? m_settings.lowShareDelay : Millis(0);
 }
@@ -58,12 +58,12 @@
         m_isCallInFlight = true;
         return Step::Renew;
     }
-    // A call that is sent during an outage may still be carried out after it.
+    // No take-over is sent during an outage of the table, as it may still be carried out later.
     if (!m_isEligible || now - m_lastContact > m_settings.maxContactGap)
         return Step::None;
     const bool isVacant = m_term.owner.empty() || m_term.owner == m_self;
-    const Millis silence = isVacant ? Millis(0) : m_settings.lease + m_settings.jitter;
-    if (now < m_lastChange + silence + takeOverDelay())
+    const Millis leaseWait = isVacant ? Millis(0) : m_settings.lease + m_settings.jitter;
+    if (now < m_lastChange + leaseWait + takeOverDelay())
         return Step::None;
     m_isCallInFlight = true;
     m_nextGeneration = m_term.generation + 1;
--- a/tests/jobs/storetimeestimator_test.cpp
+++ b/tests/jobs/storetimeestimator_test.cpp
@@ -1,6 +1,6 @@
-// Guards against callers that wait for nothing: the table is slow for 5 s while jobs keep arriving.
-// Each caller waits up to 2.2 s, and retries after the time that a rejection names, but not within
-// the first second.
+// Guards against callers that wait until their time limit for a job that can't be stored in time.
+// In the simulation the table is slow for 5 s while jobs keep arriving. Each caller waits up to
+// 2.2 s. After a rejection it retries after the expected store time, but not before 1 s has passed.
 #include "oleanderhall/jobs/storetimeestimator.h"
 
 #include <catch2/catch.hpp>
--- a/tests/maintenance/hostplanner_test.cpp
+++ b/tests/maintenance/hostplanner_test.cpp
@@ -24,7 +24,7 @@
             add("s" + std::to_string(index), kSpare, HostInfo::State::Up);
         }
         planner.updateHosts(hosts, now);
-        uses[WorkerId("")] = {}; // a host that is off has no worker
+        usages[WorkerId("")] = {}; // a host that is off has no worker
     }
 
     void add(const std::string &name, ServiceId pool, HostInfo::State state)
@@ -33,7 +33,7 @@
         host.capacity.milliCores = 10000;
         if (pool != kSpare) {
             host.worker = WorkerId("w-" + name);
-            uses[host.worker] = {.isKnown = true};
+            usages[host.worker] = {.isKnown = true};
         }
         hosts.push_back(host);
     }
@@ -42,7 +42,7 @@
     {
         return planner.plan(
             {{kBusy, {.cores = busyCores}}, {kCalm, {.cores = calmCores}}},
-            [this](WorkerId worker) { return uses[worker]; }, now);
+            [this](WorkerId worker) { return usages[worker]; }, now);
     }
 
     void answer(const HostPlanner::Plan &plan, HostCommandResult result = HostCommandResult::Done)
@@ -69,7 +69,7 @@
 
     Instant now{std::chrono::hours(1)};
     std::vector<HostInfo> hosts;
-    std::map<WorkerId, WorkerUsage> uses;
+    std::map<WorkerId, WorkerUsage> usages;
     HostPlanner planner{HostPlannerSettings{}};
 };
 
@@ -105,7 +105,7 @@
                  "[hosts]")
 {
     for (int index = 0; index < 4; ++index)
-        uses[WorkerId("w-c" + std::to_string(index))] = {
+        usages[WorkerId("w-c" + std::to_string(index))] = {
             .isKnown = true, .isEmpty = false, .mayInterrupt = false, .batchCores = 2};
     const HostPlanner::Plan result = plan(100, 0);
     CHECK(moves(result, kBusy) == 4);
@@ -149,8 +149,8 @@
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_earlierOwnersMaintenanceUnderWay_countsForTheLimit",
                  "[hosts]")
 {
-    // A new owner doesn't know which commands its predecessor has just sent, and exceeded the
-    // wave's limit. Seen in the scenario trouble-2.
+    // Guards against more hosts under maintenance than the wave allows: a new owner doesn't know
+    // which commands its predecessor has just sent.
     planner.addWave(wave({"b0", "b1", "b2", "c0"}, 2), now);
     planner.pause(HostId("b0"), now + Millis(3000));
     planner.pause(HostId("b1"), now + Millis(3000));
@@ -159,26 +159,26 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_workerNotRead_isNotTakenForIdle", "[hosts]")
 {
-    // A new owner treated hosts as empty before it had read their workers' state, and violated the
-    // availability budget. Seen in a run of seven days.
+    // Guards against a violation of the availability budget: a new owner treated hosts as empty
+    // before it had read the state of their workers.
     planner.addWave(wave({"b0"}, 1), now);
-    uses[WorkerId("w-b0")] = {};
+    usages[WorkerId("w-b0")] = {};
     CHECK(plan(20, 20).commands.empty());
-    uses[WorkerId("w-b0")] = {.isKnown = true};
+    usages[WorkerId("w-b0")] = {.isKnown = true};
     CHECK(plan(20, 20).commands.size() == 1);
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_budgetForbids_waitsWithMaintenance", "[hosts]")
 {
     planner.addWave(wave({"b0"}, 1), now);
-    uses[WorkerId("w-b0")] = {.isKnown = true, .isEmpty = false, .mayInterrupt = false};
+    usages[WorkerId("w-b0")] = {.isKnown = true, .isEmpty = false, .mayInterrupt = false};
     CHECK(plan(20, 20).commands.empty());
 }
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_behindSchedule_evacuatesWhatBudgetsHold", "[hosts]")
 {
     planner.addWave(wave({"b0"}, 1), now);
-    uses[WorkerId("w-b0")] = {.isKnown = true, .isEmpty = false, .mayInterrupt = false};
+    usages[WorkerId("w-b0")] = {.isKnown = true, .isEmpty = false, .mayInterrupt = false};
     now += Millis(18000);
     CHECK(plan(20, 20).evacuated.contains(WorkerId("w-b0")));
 }
@@ -231,17 +231,17 @@
 
 TEST_CASE_METHOD(HostPlannerTest, "HostPlanner_antiaffinity_keepsHostsEnough", "[hosts]")
 {
-    // A pool was reduced below the number of hosts that its tasks must be spread over, and
-    // tasks were lost. Seen in the scenario scale-1.
+    // Guards against lost tasks: a pool was reduced below the number of hosts that its tasks must
+    // be spread over.
     now += Millis(10000);
-    const auto needs = [&] {
+    const auto planWithMinHosts = [&] {
         return planner.plan(
             {{kBusy, {.cores = 0, .minHosts = 5}}, {kCalm, {.cores = 30}}},
-            [this](WorkerId worker) { return uses[worker]; }, now);
+            [this](WorkerId worker) { return usages[worker]; }, now);
     };
-    CHECK(moves(needs(), kBusy) == 1);
-    // The pool gets one host more while its hosts are maintained.
+    CHECK(moves(planWithMinHosts(), kBusy) == 1);
+    // The pool gets one host more while its hosts await maintenance.
     planner.addWave(wave({"b0", "b1"}, 1), now);
     now += Millis(10000);
-    CHECK(moves(needs(), kBusy) == 1);
+    CHECK(moves(planWithMinHosts(), kBusy) == 1);
 }
--- a/tests/maintenance/workerendverifier_test.cpp
+++ b/tests/maintenance/workerendverifier_test.cpp
@@ -27,10 +27,10 @@
 TEST_CASE_METHOD(WorkerEndVerifierTest,
                  "WorkerEndVerifier_commandWasDoneBefore_workerIsStillRunning", "[hosts]")
 {
-    // An owner was killed after a host's maintenance and before it recorded it. The next owner
-    // repeated the command, which was reported as done, and started the tasks of the host's new
-    // worker process elsewhere while they were still running. Seen in the scenario
-    // owner-lost-twice with seed 212759907481.
+    // Guards against tasks that run twice: an owner was killed after it had a host maintained and
+    // before it recorded this. The next owner repeated the command, which was reported as done, and
+    // started the tasks of the host's new worker process elsewhere while they were still running
+    // (seed 212759907481).
     const auto verdicts = verify(HostInfo::State::Up, worker);
     REQUIRE(verdicts.size() == 1);
     CHECK(verdicts[0].worker == worker);
--- a/tests/ownership/ownership_test.cpp
+++ b/tests/ownership/ownership_test.cpp
@@ -129,7 +129,7 @@
     }
     ownership.recordsRead(term, 10, now);
     CHECK(ownership.nextStep(now) == Ownership::Step::None);
-    // The owner has not renewed since the table answers again.
+    // The owner does not renew after the outage either.
     const Instant outageEnd = now;
     while (now < outageEnd + settings.lease) {
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
