--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -34,13 +34,15 @@
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
 constexpr int kOutcomeUnknown = 504;
-constexpr Millis kRetryAfter{1000}; // while the table or the configuration is missing
-// Of one call to the table; a slow service takes several hundred milliseconds.
+// Retry-After of temporary refusals, such as while the table or the configuration is missing.
+constexpr Millis kRetryAfter{1000};
+// Limit of one call to the table; a slow table takes several hundred milliseconds.
 constexpr Millis kTableTimeout{700};
-constexpr int kCancelTries = 3; // fit into a caller's usual time limit of 3 s
-// Time to store a job; also the default when the caller sets no time limit.
+constexpr int kCancelAttempts = 3; // as many as fit into a caller's usual time limit of 3 s
+// Longest time to store a job; also the default when the caller sets no time limit.
 constexpr Millis kMaxSubmitTime{2200};
-constexpr Millis kAnswerReserve{60}; // of a caller's time limit, for the transfer of the answer
+// Part of a caller's time limit that is left for the transfer of the response.
+constexpr Millis kResponseReserve{60};
 constexpr Millis kRetryDelay{100};
 constexpr Millis kMaxReportAge{2500}; // the owner reports twice a second
 
@@ -50,14 +52,15 @@
     std::uint64_t version = 0;
 };
 
-Instant answerDeadline(const HttpRequest &request, Instant now)
+Instant responseDeadline(const HttpRequest &request, Instant now)
 {
     const auto limit = request[platform::kDeadlineHeader];
     std::int64_t milliseconds = 0;
     const auto parsed = std::from_chars(limit.data(), limit.data() + limit.size(), milliseconds);
     if (limit.empty() || parsed.ec != std::errc())
         return now + kMaxSubmitTime;
-    return now + std::clamp(Millis(milliseconds) - kAnswerReserve, kAnswerReserve, kMaxSubmitTime);
+    return now
+        + std::clamp(Millis(milliseconds) - kResponseReserve, kResponseReserve, kMaxSubmitTime);
 }
 
 Reply jsonReply(std::string body)
@@ -127,7 +130,7 @@
     if (!queue)
         co_return refuse(kNotFound, "no_such_queue", std::nullopt);
     Target target{*queue, m_view.config->version, path.substr(queue->prefix.size()),
-                  answerDeadline(request, monotonicNow())};
+                  responseDeadline(request, monotonicNow())};
     const auto method = request.method();
     if (target.jobId.empty()) {
         if (method == boost::beast::http::verb::get)
@@ -159,22 +162,22 @@
 
 asio::awaitable<TransactionResult> CallerApi::transact(Transaction transaction)
 {
-    auto shot = std::make_shared<OneShot<TransactionResult>>(m_io.get_executor());
+    auto oneShot = std::make_shared<OneShot<TransactionResult>>(m_io.get_executor());
     m_table.transact(transaction, kTableTimeout,
-                     [shot](TransactionResult result) { shot->set(std::move(result)); });
-    std::optional<TransactionResult> result = co_await shot->wait(std::chrono::steady_clock::now()
-                                                                  + 2 * kTableTimeout);
+                     [oneShot](TransactionResult result) { oneShot->set(std::move(result)); });
+    std::optional<TransactionResult> result = co_await oneShot->wait(
+        std::chrono::steady_clock::now() + 2 * kTableTimeout);
     co_return result ? std::move(*result) : TransactionResult{};
 }
 
 asio::awaitable<ReadResult> CallerApi::readJob(JobId id)
 {
-    auto shot = std::make_shared<OneShot<ReadResult>>(m_io.get_executor());
+    auto oneShot = std::make_shared<OneShot<ReadResult>>(m_io.get_executor());
     m_table.read(kProgressTable, jobPartitionName(jobPartition(id)), jobKey(id, JobRow::Progress),
                  jobKey(id, JobRow::Cancel) + " ", kTableTimeout,
-                 [shot](ReadResult result) { shot->set(std::move(result)); });
-    std::optional<ReadResult> result = co_await shot->wait(std::chrono::steady_clock::now()
-                                                           + 2 * kTableTimeout);
+                 [oneShot](ReadResult result) { oneShot->set(std::move(result)); });
+    std::optional<ReadResult> result = co_await oneShot->wait(std::chrono::steady_clock::now()
+                                                              + 2 * kTableTimeout);
     co_return result ? std::move(*result) : ReadResult{};
 }
 
@@ -198,13 +201,13 @@
     // Without waiting jobs this one may start at once; otherwise the owner releases it in its turn.
     const auto waiting = m_view.report.waitingJobs.find(target.queue.name);
     job.isReleased = waiting == m_view.report.waitingJobs.end() || waiting->second == 0;
-    auto shot = std::make_shared<OneShot<Stored>>(m_io.get_executor());
+    auto oneShot = std::make_shared<OneShot<Stored>>(m_io.get_executor());
     m_writers[static_cast<std::size_t>(jobPartition(id))]->store(
-        job, target.deadline, [shot](StoreOutcome outcome, std::uint64_t version) {
-            shot->set({outcome, version});
+        job, target.deadline, [oneShot](StoreOutcome outcome, std::uint64_t version) {
+            oneShot->set({outcome, version});
         });
-    constexpr Millis kSlack{500}; // the writer itself answers at the deadline
-    const std::optional<Stored> stored = co_await shot->wait(
+    constexpr Millis kSlack{500}; // the writer reports shortly after the deadline
+    const std::optional<Stored> stored = co_await oneShot->wait(
         std::chrono::steady_clock::now() + (target.deadline - monotonicNow()) + kSlack);
     const StoreOutcome outcome = stored ? stored->outcome : StoreOutcome::Unknown;
     if (outcome == StoreOutcome::Stored || outcome == StoreOutcome::AlreadyStored) {
@@ -222,7 +225,7 @@
     logWarning(
         "job_refused",
         {{"job", textOf(id)}, {"reason", mayBeStored ? "outcome_unknown" : "table_refused"}});
-    // A job that may have been stored must not be answered as refused.
+    // The job may have been stored, so the response must not say that it was not.
     if (mayBeStored)
         co_return refuse(kOutcomeUnknown, "outcome_unknown", std::nullopt);
     const Millis expected = m_writers[static_cast<std::size_t>(jobPartition(id))]->expectedDelay(
@@ -264,7 +267,7 @@
     Transaction transaction{.partition = jobPartitionName(jobPartition(id))};
     for (const char *table : {kJobTable, kProgressTable})
         transaction.writes.push_back({table, jobKey(id, JobRow::Cancel), "1"});
-    for (int attempt = 1; attempt <= kCancelTries; ++attempt) {
+    for (int attempt = 1; attempt <= kCancelAttempts; ++attempt) {
         const TransactionResult written = co_await transact(transaction);
         if (written.outcome == TransactionResult::Outcome::Done) {
             m_metrics.count("jobs_cancelled_total");
--- a/src/node/callerapi.h
+++ b/src/node/callerapi.h
@@ -34,7 +34,7 @@
         QueueConfig queue;
         ConfigVersion config;
         std::string jobId; ///< The path behind the queue's prefix; empty for the queue itself.
-        Instant deadline; ///< Of the answer; leaves a reserve within the caller's time limit.
+        Instant deadline; ///< Of the response; usually before the caller's time limit.
     };
 
     boost::asio::awaitable<Reply> submit(Target target, JobId id, std::string body);
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -33,15 +33,15 @@
 namespace {
 
 constexpr Millis kControlLongPoll{1000};
-// Short enough to detect a silently broken connection before the next version.
+// Short enough to detect a silently broken connection before the next configuration version.
 constexpr Millis kOperatorLongPoll{1200};
 constexpr Millis kControlTimeout{1500}; // of a renewal or hand-over; the ownership lease is 2 s
-// Of a take-over. An abandoned one stays in a slow table's queue, ahead of the next attempt.
+// A take-over that timed out stays in a slow table's queue, ahead of the next attempt.
 constexpr Millis kTakeOverTimeout{2500};
 constexpr Millis kOwnershipCheckInterval{50};
 constexpr int kMaxJitterMs = 300;
-// The load balancer probes once a second and reacts to the second failure.
-constexpr Millis kUnreadyNotice{2300};
+// Lets the load balancer notice: it probes once a second and reacts to the second failure.
+constexpr Millis kUnreadyPeriod{2300};
 constexpr Millis kShutdownReserve{800}; // left before the platform kills the process
 constexpr Millis kShutdownPollInterval{20};
 constexpr int kOk = 200;
@@ -318,11 +318,11 @@
         logInfo("stopping", {{"owner", m_ownership.isOwner() ? "true" : "false"}});
         m_isShuttingDown = true;
         handOver();
-        m_shutdownTimer.expires_after(kUnreadyNotice);
+        m_shutdownTimer.expires_after(kUnreadyPeriod);
         m_shutdownTimer.async_wait([this](const boost::system::error_code &) {
             m_callerServer->drain();
             m_callerServer->stop();
-            m_shutdownDeadline = monotonicNow() + m_settings.shutdownTimeout - kUnreadyNotice
+            m_shutdownDeadline = monotonicNow() + m_settings.shutdownTimeout - kUnreadyPeriod
                 - kShutdownReserve;
             finishShutdown();
         });
--- a/src/node/fleetowner.cpp
+++ b/src/node/fleetowner.cpp
@@ -258,10 +258,10 @@
         batch.updates.push_back(update);
     }
     for (const JobId id : write.dropped) {
-        auto &drops = batchOf(id).transaction.deletes;
-        drops.push_back({kJobTable, jobKey(id, JobRow::Cancel), {}});
-        drops.push_back({kProgressTable, jobKey(id, JobRow::Cancel), {}});
-        drops.push_back({kProgressTable, jobKey(id, JobRow::Progress), {}});
+        auto &deletedRows = batchOf(id).transaction.deletes;
+        deletedRows.push_back({kJobTable, jobKey(id, JobRow::Cancel), {}});
+        deletedRows.push_back({kProgressTable, jobKey(id, JobRow::Cancel), {}});
+        deletedRows.push_back({kProgressTable, jobKey(id, JobRow::Progress), {}});
     }
     m_writesInFlight = static_cast<int>(batches.size());
     m_haveWritesSucceeded = true;
@@ -269,14 +269,14 @@
         m_table.transact(
             batch.transaction, kProgressWriteTimeout,
             [weak = weak_from_this(), partition = partition, updates = std::move(batch.updates),
-             number = write.batch](const platform::TransactionResult &result) {
+             batchNumber = write.batch](const platform::TransactionResult &result) {
                 const auto self = weak.lock();
                 if (!self || self->m_isStopped)
                     return;
                 self->onBatchWritten(partition, updates, result);
                 if (--self->m_writesInFlight > 0)
                     return;
-                self->m_scheduler.onProgressWritten(number, self->m_haveWritesSucceeded,
+                self->m_scheduler.onProgressWritten(batchNumber, self->m_haveWritesSucceeded,
                                                     monotonicNow());
                 self->scheduleStep();
             });
@@ -294,14 +294,15 @@
     }
     m_haveWritesSucceeded = false;
     if (result.outcome == Outcome::Conflict) {
-        bool isOurs = false;
+        bool isTokenUnchanged = false;
         for (const platform::TableRow &row : result.rows) {
             if (row.table == kFencingTokenTable)
-                isOurs = row.version == m_tokenRowVersions[static_cast<std::size_t>(partition)];
+                isTokenUnchanged = row.version
+                    == m_tokenRowVersions[static_cast<std::size_t>(partition)];
             if (const auto key = parseJobKey(row.key); key && key->row == JobRow::Progress)
                 m_progressVersions[key->id] = row.version;
         }
-        m_isSuperseded = m_isSuperseded || !isOurs;
+        m_isSuperseded = m_isSuperseded || !isTokenUnchanged;
     }
     m_metrics.count("record_retries_total");
     logWarning("record_not_confirmed",
--- a/src/node/fleetowner.h
+++ b/src/node/fleetowner.h
@@ -43,7 +43,8 @@
     /// Returns the number of waiting jobs of each queue; empty until the jobs are loaded.
     std::vector<QueueLoad> loadByQueue() const;
     bool isLoaded() const { return m_isLoaded; }
-    /// Returns whether a row or a worker has shown that another process took ownership over.
+    /// Returns whether a fencing token row or a worker's refusal has shown that another process
+    /// took over ownership.
     bool isSuperseded() const { return m_isSuperseded; }
 
 private:
@@ -83,11 +84,11 @@
     std::shared_ptr<TableWatcher> m_jobWatcher;
     /// Progress that was read at the take-over; held until the jobs are loaded.
     std::map<JobId, JobProgress> m_inheritedProgress;
-    std::vector<std::uint64_t>
-        m_tokenRowVersions; ///< Versions of the fencing token rows, by partition.
+    /// Versions of the fencing token rows, by partition.
+    std::vector<std::uint64_t> m_tokenRowVersions;
     int m_partitionsToRead = 0;
     int m_writesInFlight = 0; ///< Transactions of the latest batch of progress.
-    bool m_haveWritesSucceeded = true; ///< Of that batch, so far.
+    bool m_haveWritesSucceeded = true; ///< None of them has failed so far.
     std::map<JobId, std::uint64_t> m_progressVersions; ///< Expected by the next progress write.
     boost::asio::steady_timer m_stepTimer;
     boost::asio::steady_timer m_workerListTimer;
--- a/src/node/fleetownerloading.cpp
+++ b/src/node/fleetownerloading.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A draining worker must get no new task from 2 s after it has reported that it drains.
+// A worker must get no new tasks later than 2 s after it has reported that it drains.
 constexpr Millis kWorkerListInterval{700};
 constexpr Millis kShortWorkerListInterval{100}; // while hosts are moved or maintained
 constexpr Millis kReadTimeout{1500};
@@ -34,7 +34,8 @@
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
-                     // Retried at once: a failed call usually lasts until its timeout.
+                     // Retried without a delay, as a failed call has usually lasted until its
+                     // timeout.
                      if (!result.isSuccess) {
                          self->fencePartition(partition);
                          return;
--- a/src/node/fleetview.h
+++ b/src/node/fleetview.h
@@ -40,8 +40,8 @@
         return tableClockMs + std::chrono::duration_cast<Millis>(now - lastContact).count();
     }
 
-    /// The table counts as unreachable when the last contact is older: two long polls of one second
-    /// each, and a slow answer.
+    /// Time since the last contact after which the table counts as unreachable. It covers two long
+    /// polls of one second each and a slow response.
     static constexpr Millis kContactTimeout{2500};
 
     bool isTableReachable(Instant now) const { return now - lastContact < kContactTimeout; }
--- a/src/node/hostcontroller.cpp
+++ b/src/node/hostcontroller.cpp
@@ -97,7 +97,8 @@
                      const auto self = weak.lock();
                      if (!self || self->m_isStopped)
                          return;
-                     // Retried at once: a failed call usually lasts until its timeout.
+                     // Retried without a delay, as a failed call has usually lasted until its
+                     // timeout.
                      if (!result.isSuccess)
                          self->readRecordedCommands();
                      else
--- a/src/node/hostcontroller.h
+++ b/src/node/hostcontroller.h
@@ -33,7 +33,8 @@
     void start();
     /// Sends no more commands; answers that arrive later are ignored.
     void stop();
-    /// Plans and sends commands; returns at once when the last plan is too recent.
+    /// Plans and sends commands. Does nothing until the recorded commands have been read, nor
+    /// shortly after the last plan.
     void step(Instant now);
     /// Returns whether a host is being moved or maintained.
     bool hasPendingChanges() const;
--- a/src/node/jobwriter.cpp
+++ b/src/node/jobwriter.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr std::size_t kMaxBatchJobs = 30; // three entries each; a transaction may hold 100
-// Of encoded jobs; a call may hold 1 MB, in which they are base64.
+// Limit for the encoded jobs of a batch, which are sent as base64 in a call of at most 1 MB.
 constexpr std::size_t kMaxBatchBytes = 400UL << 10;
-// A partition of the table refuses transactions when the queue holds more than one second of them.
-// A slow one takes several hundred milliseconds for each.
+// A partition of the table refuses transactions once those in its queue take more than one second.
+// A slow partition takes several hundred milliseconds for each.
 constexpr Millis kStoreTimeout{2500};
 constexpr Millis kRetryDelay{100};
 constexpr Millis kDeadlineCheckInterval{50};
@@ -133,17 +133,17 @@
     using Outcome = platform::TransactionResult::Outcome;
     m_isInFlight = false;
     m_storeTime.onCompleted(monotonicNow());
-    std::set<std::string> present;
+    std::set<std::string> storedKeys;
     if (result.outcome == Outcome::Conflict) {
         for (const platform::TableRow &row : result.rows) {
             if (row.version > 0 && !row.isDeleted)
-                present.insert(row.key);
+                storedKeys.insert(row.key);
         }
     }
     for (auto pending = batch.rbegin(); pending != batch.rend(); ++pending) {
         if (result.outcome == Outcome::Done) {
             complete(*pending, StoreOutcome::Stored, result.version);
-        } else if (present.contains(jobKey((*pending)->id, JobRow::Progress))) {
+        } else if (storedKeys.contains(jobKey((*pending)->id, JobRow::Progress))) {
             complete(*pending, StoreOutcome::AlreadyStored, result.version);
         } else {
             (*pending)->mayBeStored = (*pending)->mayBeStored || result.outcome == Outcome::Unknown;
--- a/src/node/jobwriter.h
+++ b/src/node/jobwriter.h
@@ -20,9 +20,9 @@
 /// Internal: the result of storing a job.
 enum class StoreOutcome {
     Stored,
-    AlreadyStored, ///< A job with this id exists; it is the same job.
+    AlreadyStored, ///< A job with this id is stored; it is taken for the same job.
     Refused, ///< Certainly not stored.
-    Unknown, ///< It may be stored already, or may still be.
+    Unknown, ///< It may have been stored, or may be stored later.
 };
 
 /// Internal: stores accepted jobs in batches. Jobs that arrive while a transaction is in flight go
--- a/src/node/nodesettings.h
+++ b/src/node/nodesettings.h
@@ -21,19 +21,20 @@
     std::string tableAddress; ///< IP:PORT of the transactional table service.
     /// IP:PORT of the platform's host service; when empty, no hosts are moved or maintained.
     std::string hostServiceAddress;
-    std::string adviceAddress; ///< IP:PORT of the policy service; may be empty.
+    /// IP:PORT of the policy service; when empty, no advice is requested.
+    std::string adviceAddress;
     double processorShare = 1; ///< Processor time of this process, in cores.
     Millis taskStopTimeout{400}; ///< Longest time that a worker takes to stop a task.
     Millis statusLifetime{120000}; ///< How long the state of an ended job is kept.
     Millis moveTime{1500}; ///< How long a move of a host takes.
     Millis maintenanceTime{2000}; ///< How long a host's maintenance takes.
-    Millis hostCommandPause{3000}; ///< Between two owners' commands to a host.
+    Millis hostCommandPause{3000}; ///< Between the commands of two owners to a host.
     Millis shutdownTimeout{6000}; ///< From the stop signal until the platform kills the process.
 };
 
 /// Internal: reads flags, environment and the settings file that --settings or
 /// OLEANDERHALL_CONFIG names. Returns nothing and sets `exitCode` when the program should exit. All
-/// faults of the settings are printed together.
+/// errors in the settings are printed together.
 std::optional<NodeSettings> parseNodeSettings(int argc, const char *const *argv, int &exitCode);
 
 } // namespace oleanderhall
--- a/src/node/tablewatcher.cpp
+++ b/src/node/tablewatcher.cpp
@@ -52,36 +52,37 @@
 
 void TableWatcher::readPage(const std::string &from)
 {
-    m_table.read(
-        m_source.table, m_source.partitions[m_partitionIndex], from, {}, kReadTimeout,
-        [self = shared_from_this()](platform::ReadResult result) {
-            if (self->m_isStopped)
-                return;
-            if (!result.isSuccess) {
-                self->runAfter(kRetryDelay, &TableWatcher::readSnapshot);
-                return;
-            }
-            Update &snapshot = self->m_snapshot;
-            if (snapshot.version == 0) {
-                snapshot.version = result.version;
-                snapshot.clockMs = result.clockMs;
-                snapshot.sentAt = result.sentAt;
-            }
-            std::move(result.rows.begin(), result.rows.end(), std::back_inserter(snapshot.rows));
-            if (result.hasMore && !snapshot.rows.empty()) {
-                self->readPage(snapshot.rows.back().key + " "); // the next key in byte order
-                return;
-            }
-            if (++self->m_partitionIndex < self->m_source.partitions.size()) {
-                self->readPage({});
-                return;
-            }
-            self->m_version = snapshot.version;
-            self->m_lastContact = snapshot.sentAt;
-            const Update update = std::move(snapshot);
-            self->m_onUpdate(update);
-            self->watch();
-        });
+    m_table.read(m_source.table, m_source.partitions[m_partitionIndex], from, {}, kReadTimeout,
+                 [self = shared_from_this()](platform::ReadResult result) {
+                     if (self->m_isStopped)
+                         return;
+                     if (!result.isSuccess) {
+                         self->runAfter(kRetryDelay, &TableWatcher::readSnapshot);
+                         return;
+                     }
+                     Update &snapshot = self->m_snapshot;
+                     if (snapshot.version == 0) {
+                         snapshot.version = result.version;
+                         snapshot.clockMs = result.clockMs;
+                         snapshot.sentAt = result.sentAt;
+                     }
+                     std::move(result.rows.begin(), result.rows.end(),
+                               std::back_inserter(snapshot.rows));
+                     if (result.hasMore && !snapshot.rows.empty()) {
+                         // The next key in byte order among keys without control characters.
+                         self->readPage(snapshot.rows.back().key + " ");
+                         return;
+                     }
+                     if (++self->m_partitionIndex < self->m_source.partitions.size()) {
+                         self->readPage({});
+                         return;
+                     }
+                     self->m_version = snapshot.version;
+                     self->m_lastContact = snapshot.sentAt;
+                     const Update update = std::move(snapshot);
+                     self->m_onUpdate(update);
+                     self->watch();
+                 });
 }
 
 void TableWatcher::watch()
--- a/src/node/viewupdate.h
+++ b/src/node/viewupdate.h
@@ -11,16 +11,20 @@
 namespace oleanderhall {
 
 // Internal: decodes rows of the table service and applies them to a node's view. A row that can't
-// be decoded changes nothing and is logged as a warning.
+// be decoded is logged as a warning; each function says what such a row still changes.
 
-/// Decodes the term's row. A row that can't be decoded still yields its version.
+/// Decodes the term's row. A row that can't be decoded still yields its version and the members
+/// decoded before the error.
 TermRecord decodeTerm(const platform::TableRow &row);
-/// Applies the owner's report, the value of the heartbeat row.
+/// Applies the owner's report, the value of the heartbeat row. Invalid JSON changes nothing, nor
+/// does a report without queue lengths. If the queue lengths can't be decoded, the previous ones
+/// are dropped, those decoded before the error are applied and the report's time of receipt stays.
 void applyOwnerReport(FleetView &view, const std::string &text);
-/// Adds the hosts that a wave has maintained.
+/// Adds the hosts that a wave has maintained. If an entry can't be decoded, the hosts before it
+/// have been added. Invalid JSON or an invalid key changes nothing.
 void applyMaintainedHosts(FleetView &view, const platform::TableRow &row);
-/// Applies a row that operators wrote: a wave, or the configuration unless its version is not newer
-/// than the one in force.
+/// Applies a row that operators wrote: a wave, or a configuration newer than the one in force. A
+/// row that is deleted or can't be decoded changes nothing.
 void applyOperatorRow(FleetView &view, const platform::TableRow &row);
 
 } // namespace oleanderhall
--- a/tests/platform/decoders_test.cpp
+++ b/tests/platform/decoders_test.cpp
@@ -53,7 +53,8 @@
     return text.substr(0, colon + 1) + other + text.substr(end);
 }
 
-/// Checks that `decode` accepts or throws for damaged copies of `message`.
+/// Checks that `decode` either accepts a damaged copy of `message` or throws MalformedMessage or
+/// json_exception.
 template <typename Decode>
 void survivesDamage(const std::string &message, Decode decode)
 {
