--- a/include/oleanderhall/fleet/fleetstate.h
+++ b/include/oleanderhall/fleet/fleetstate.h
@@ -38,7 +38,8 @@
     bool apply(const LogEntry &entry);
 
     /// Replaces the state with a snapshot taken at `sequence`. Host records may be newer than
-    /// `sequence`: entries applied later don't overwrite a record whose `changedAt` is not older.
+    /// `sequence`: an entry applied later doesn't overwrite a record whose `changedAt` equals or
+    /// exceeds the sequence of the entry.
     void restore(Sequence sequence, ConfigVersion version, Register config,
                  std::vector<HostRecord> hosts, const std::vector<WaveRecord> &waves);
 
--- a/include/oleanderhall/fleet/logentry.h
+++ b/include/oleanderhall/fleet/logentry.h
@@ -15,7 +15,7 @@
 {
     Sequence sequence;
     EntryId actor;
-    std::string operation; ///< Unique id of the append, identifies it if the response is lost.
+    std::string operation; ///< Unique id by which the entry is recognized if the response is lost.
     std::string reason;
     std::vector<Change> changes;
 
--- a/include/oleanderhall/fleet/observations.h
+++ b/include/oleanderhall/fleet/observations.h
@@ -19,7 +19,7 @@
     Epoch workerEpoch; ///< The highest epoch that the worker has accepted.
     Epoch bootEpoch; ///< The epoch of the last completed reboot.
     std::vector<ServiceId> running; ///< Services whose instance accepts connections.
-    int activeInstances = 0; ///< Instances that run, or are stopping and finish requests.
+    int activeInstances = 0; ///< Running instances, and stopping ones that still finish requests.
     Sequence observedAt; ///< Sequence of the fleet's state when the observation began.
 };
 
@@ -28,7 +28,7 @@
 {
     EntryId id;
     ZoneId zone;
-    Sequence acknowledged; ///< The entry host routes only by views at least this new.
+    Sequence acknowledged; ///< The entry host no longer routes by a view older than this.
     bool leaseExpired = false; ///< View lease expired: it routes only within its own zone.
 };
 
--- a/include/oleanderhall/fleet/poolplan.h
+++ b/include/oleanderhall/fleet/poolplan.h
@@ -14,7 +14,7 @@
 {
     std::vector<Change> changes; ///< To be committed as one log entry.
     std::string reason; ///< The reason of that log entry.
-    std::vector<WorkerCommand> commands; ///< Follow from the state already committed.
+    std::vector<WorkerCommand> commands; ///< Independent of `changes`; follow from committed state.
     std::map<HostId, std::string> waitReasons; ///< Why the next step of a host is deferred.
 };
 
--- a/include/oleanderhall/fleet/poolplanner.h
+++ b/include/oleanderhall/fleet/poolplanner.h
@@ -15,8 +15,8 @@
 {
     /// How long an instance may take to start before its host counts as failed.
     Millis instanceStartTimeout{10000};
-    /// How long after a change an entry host that has not acknowledged it may still send work to
-    /// other zones by an older view: the duration of the view lease plus a margin.
+    /// The time after a change during which an entry host that has not acknowledged the change may
+    /// still route to other zones by an older view: the duration of the view lease plus a margin.
     Millis viewExpiry{4000};
 };
 
--- a/include/oleanderhall/register/registerparser.h
+++ b/include/oleanderhall/register/registerparser.h
@@ -45,7 +45,7 @@
 web::json::value toJson(const ServiceRule &rule);
 web::json::value toJson(const WaveRule &rule);
 web::json::value toJson(const RegisterPatch &patch);
-/// Returns the patch from an empty register to `value`, always with the wave rule.
-web::json::value toJson(const Register &value);
+/// Returns the JSON of the patch from an empty register to `source`, always with the wave rule.
+web::json::value toJson(const Register &source);
 
 } // namespace oleanderhall
--- a/include/oleanderhall/rollout/logcodec.h
+++ b/include/oleanderhall/rollout/logcodec.h
@@ -22,7 +22,7 @@
 std::string rowOf(Sequence sequence);
 /// Returns the key of the object that holds an entry too large for its row.
 std::string entryKey(const LogEntry &entry);
-/// Returns the head after `entry`. The base configuration is the one of `head`.
+/// Returns the head after `entry`, with the base configuration of `head`.
 LogHead nextHead(const LogHead &head, const LogEntry &entry);
 /// Returns the object key for a new base configuration if `entry` must store one: if there is none
 /// yet, if kVersionsPerBase is reached, or if the entry is too large for its row.
@@ -35,7 +35,7 @@
 std::string encodeReference(const std::string &key);
 /// Returns the object key if `data` was written by encodeReference(), otherwise nothing.
 std::optional<std::string> referenceIn(const std::string &data);
-/// These parse the data of a row. They throw InvalidDocument with all findings.
+/// Each of these parses the data of a row. Throws InvalidDocument with all findings.
 HostRecord parseHostRow(const std::string &data, Sequence changedAt);
 WaveRecord parseWaveRow(const std::string &data);
 RegisterPatch parsePatchText(const std::string &data);
--- a/include/oleanderhall/routing/claimrecord.h
+++ b/include/oleanderhall/routing/claimrecord.h
@@ -22,8 +22,7 @@
 {
     ClaimState state = ClaimState::Claimed;
     std::string token; ///< Identifies the claim attempt that holds the claim.
-    std::string
-        requestHash; ///< Distinguishes a repetition from a different request with the same key.
+    std::string requestHash; ///< Tells a repetition from another request with the same key.
     int status = 0; ///< Status code of the response, if Done.
     std::string contentType;
     std::string body;
@@ -47,8 +46,8 @@
 /// The result of evaluateClaim().
 using ClaimDecision = std::variant<ClaimAllowed, ReplayedResponse, Refusal>;
 
-/// Decides whether a request may be claimed, gets the stored response or is refused, given the row
-/// under its key, if there is one, and the hash of the request.
+/// Decides whether a request with the hash `requestHash` may be claimed, gets the stored response
+/// or is refused. `existing` is the row under its key, if there is one.
 ClaimDecision evaluateClaim(const std::optional<ClaimRecord> &existing,
                             const std::string &requestHash);
 
--- a/include/oleanderhall/routing/claimstore.h
+++ b/include/oleanderhall/routing/claimstore.h
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Releases the claim of a request that was refused although its write may still take effect.
+    /// Releases the claim of a request that was refused while the write of its claim could still
+    /// take effect.
     /// Returns true when the row is known to hold no open claim of this request.
     bool releaseIfHeld(const ClaimRequest &request)
     {
@@ -163,10 +164,10 @@
                 existing = parseClaim(item->data);
             if (existing && isHeldBy(*existing, request))
                 return ClaimHandle{request.key, item->version, *existing};
-            const ClaimDecision verdict = evaluateClaim(existing, request.requestHash);
-            if (const auto *refusal = std::get_if<Refusal>(&verdict))
+            const ClaimDecision decision = evaluateClaim(existing, request.requestHash);
+            if (const auto *refusal = std::get_if<Refusal>(&decision))
                 return *refusal;
-            if (const auto *replay = std::get_if<ReplayedResponse>(&verdict))
+            if (const auto *replay = std::get_if<ReplayedResponse>(&decision))
                 return *replay;
             return replace(request, item ? item->version : TableWrite::kAbsent);
         } catch (const PlatformUnavailable &) {
--- a/include/oleanderhall/routing/concurrencywindow.h
+++ b/include/oleanderhall/routing/concurrencywindow.h
@@ -19,7 +19,7 @@
     void setEntryHostCount(int entryHostCount);
     /// Returns the highest number of requests that may be in flight.
     int size() const { return static_cast<int>(m_size); }
-    /// Grows the window unless `inFlight` requests leave a part of it unused.
+    /// Grows the window if `inFlight` requests fill it and its growth is not suspended.
     void onResponse(int inFlight, Instant now);
     /// Shrinks the window and suspends its growth for a while.
     void onRefusal(Instant now);
--- a/include/oleanderhall/routing/executionstatus.h
+++ b/include/oleanderhall/routing/executionstatus.h
@@ -4,7 +4,7 @@
 
 namespace oleanderhall {
 
-/// Whether an upstream executed a request for which the caller gets no response of the upstream.
+/// Whether an upstream executed a request for which the caller gets no response from the upstream.
 /// NotExecuted is used only when that is certain.
 enum class ExecutionStatus { NotExecuted, Executed, Unknown };
 
--- a/include/oleanderhall/routing/refusal.h
+++ b/include/oleanderhall/routing/refusal.h
@@ -8,7 +8,7 @@
 
 namespace oleanderhall {
 
-/// A Refusal is the final reply to a request for which no response of an upstream is returned.
+/// A Refusal is the final reply to a request for which no response from an upstream is returned.
 struct Refusal
 {
     RefusalReason reason = RefusalReason::BadRequest;
--- a/include/oleanderhall/routing/refusalreason.h
+++ b/include/oleanderhall/routing/refusalreason.h
@@ -5,7 +5,7 @@
 
 namespace oleanderhall {
 
-/// Why a caller's request was refused instead of being answered by an upstream. Each reason has a
+/// Why a caller's request was refused and got no response from an upstream. Each reason has a
 /// stable name, an HTTP status code and a counter.
 enum class RefusalReason {
     BadRequest,
--- a/include/oleanderhall/routing/servicerouter.h
+++ b/include/oleanderhall/routing/servicerouter.h
@@ -56,9 +56,9 @@
 /// A ServiceRouter load-balances the requests of one service over its upstreams. It grants each
 /// request a slot at an upstream, and queues or refuses requests for which no slot is free.
 /// Upstreams in the entry host's zone are preferred; those in other zones are used only while no
-/// upstream in that zone has a free slot, and only up to half of their concurrency window. Waiting
-/// requests are served in order of their deadlines; a request that is not expected to meet its
-/// deadline is refused on arrival. The class does no I/O and is not synchronised.
+/// upstream in its own zone has a free slot, and only up to half of their concurrency window.
+/// Waiting requests are served in order of their deadlines; a request that is not expected to meet
+/// its deadline is refused on arrival. The class does no I/O and is not synchronised.
 class ServiceRouter
 {
 public:
--- a/src/fleet/poolstep.h
+++ b/src/fleet/poolstep.h
@@ -11,14 +11,15 @@
 namespace oleanderhall {
 
 /// Internal: a single run of PoolPlanner::decide(). Collects the changes in `m_plan`; each host
-/// changes at most once per step. The methods are called in the order of their declaration.
+/// changes at most once per step. The public methods are called in the order of declaration.
 class PoolStep
 {
 public:
     PoolStep(const FleetState &state, const Observations &observations, PoolId pool,
              const PlannerSettings &settings, std::map<HostId, int> &startFailures);
 
-    /// Takes the next step of the host's lifecycle. `sinceChange` is the age of the record.
+    /// Takes the next step of the host's lifecycle. `sinceChange` is the time since the planner
+    /// first read this version of the record.
     void progress(const HostRecord &record, Millis sinceChange);
     /// Adds records for the hosts that the register newly assigns to the pool.
     void admitNewHosts();
@@ -55,9 +56,10 @@
     bool areServicesReady() const;
     /// Returns true once no entry host can send work to the host by a view older than `record`.
     bool isChangePropagated(const HostRecord &record, Millis sinceChange) const;
-    /// Returns true if the view lease of an entry host in the host's zone has expired, or in any
-    /// zone if the host's zone is unknown. Such an entry host still routes to the hosts of its zone
-    /// by an old view, so none of them may be disrupted.
+    /// Returns true if an entry host in the zone of `host` has an expired view lease. If the zone
+    /// of `host` is unknown, the entry hosts of all zones count. An entry host with an expired
+    /// lease still routes to the hosts of its zone by an old view, so none of them may be
+    /// disrupted.
     bool isZoneFrozen(HostId host) const;
     bool isLost(const HostRecord &record) const;
     bool canAddChange() const;
--- a/src/fleet/poolstepdisruptions.cpp
+++ b/src/fleet/poolstepdisruptions.cpp
@@ -36,7 +36,7 @@
 {
     int done = 0;
     int inProgress = 0;
-    std::set<RackId> openRacks;
+    std::set<RackId> racksInProgress;
     std::vector<std::tuple<bool, ZoneId, RackId, HostId>> pending;
     std::vector<HostId> eligible;
     for (const HostId host : m_state.hostsOf(m_pool)) {
@@ -48,7 +48,7 @@
             ++done;
         } else if (record.wave == wave.id && record.state != HostState::Failed) {
             ++inProgress;
-            openRacks.insert(spec->rack);
+            racksInProgress.insert(spec->rack);
         } else if (record.wave != wave.id && record.state == HostState::Serving
                    && !isChanged(host)) {
             eligible.push_back(host);
@@ -56,7 +56,7 @@
     }
     for (const HostId host : eligible) {
         const HostSpec &spec = *m_state.spec(host);
-        pending.emplace_back(!openRacks.contains(spec.rack), spec.zone, spec.rack, host);
+        pending.emplace_back(!racksInProgress.contains(spec.rack), spec.zone, spec.rack, host);
     }
     std::sort(pending.begin(), pending.end());
     // After the first batch, as many hosts may be in progress as are already back in service.
@@ -95,20 +95,20 @@
     const WaveRecord *wave = m_state.waveOf(m_pool);
     if (!wave || wave->status != WaveStatus::Running)
         return;
-    int open = 0;
+    int unfinished = 0;
     int failed = 0;
     for (const HostId host : m_state.hostsOf(m_pool)) {
         const HostRecord &record = *m_state.record(host);
         if (record.state == HostState::Failed && record.wave == wave->id)
             ++failed;
         else if (record.wave != wave->id || record.state != HostState::Serving)
-            ++open;
+            ++unfinished;
     }
     WaveRecord next = *wave;
     if (failed >= m_state.config().wave.maxFailures) {
         next.status = WaveStatus::Stopped;
         next.reason = std::to_string(failed) + " hosts did not come back";
-    } else if (open == 0) {
+    } else if (unfinished == 0) {
         next.status = WaveStatus::Done;
         next.reason = "every host was maintained";
     } else {
--- a/src/fleet/poolstepplacement.cpp
+++ b/src/fleet/poolstepplacement.cpp
@@ -84,8 +84,8 @@
         removeSurplusInstances(rule, candidates, perZone, placed);
 }
 
-// Adds an instance in a zone that has none, for instance after an outage. The surplus instance of
-// another zone is removed only once the new one is ready.
+// Adds an instance in a zone that has none, such as a zone that is back after an outage. The
+// surplus instance of another zone is removed only once the new one is ready.
 void PoolStep::addInstanceToEmptyZone(const ServiceRule &rule,
                                       const std::vector<PlacementCandidate> &candidates,
                                       const std::map<ZoneId, int> &perZone)
--- a/src/register/registerparser.cpp
+++ b/src/register/registerparser.cpp
@@ -14,8 +14,8 @@
 constexpr int kMaxCores = 1024;
 constexpr int kMaxMemoryGb = 32768;
 constexpr int kMaxConnections = 65535;
-constexpr int kLowestStatus = 400;
-constexpr int kHighestStatus = 599;
+constexpr int kMinErrorStatus = 400;
+constexpr int kMaxErrorStatus = 599;
 
 void checkSchema(const JsonCursor &cursor)
 {
@@ -69,16 +69,16 @@
     for (const auto &[id, rule] : candidate.pools) {
         const auto found = sizes.find(id);
         const int size = found == sizes.end() ? 0 : found->second;
-        const std::string place = "/pools/" + id.name();
+        const std::string location = "/pools/" + id.name();
         if (size > 0 && rule.minAvailable >= size) {
-            findings.add({file, place + "/minAvailable",
+            findings.add({file, location + "/minAvailable",
                           "no host of pool '" + id.name()
                               + "' can ever be maintained: " + std::to_string(rule.minAvailable)
                               + " of " + std::to_string(size) + " hosts must stay available",
                           "at most " + std::to_string(size - 1)});
         }
         if (size == 0 && rule.minAvailable > 0) {
-            findings.add({file, place, "pool '" + id.name() + "' has no hosts",
+            findings.add({file, location, "pool '" + id.name() + "' has no hosts",
                           "at least " + std::to_string(rule.minAvailable + 1) + " hosts"});
         }
     }
@@ -89,21 +89,21 @@
     std::map<std::uint16_t, ServiceId> ports;
     const std::map<PoolId, int> sizes = hostsPerPool(candidate);
     for (const auto &[id, rule] : candidate.services) {
-        const std::string place = "/services/" + id.name();
+        const std::string location = "/services/" + id.name();
         if (!candidate.pools.contains(rule.pool)) {
-            findings.add({file, place + "/pool", "pool '" + rule.pool.name() + "' is unknown",
+            findings.add({file, location + "/pool", "pool '" + rule.pool.name() + "' is unknown",
                           "a pool of the rules"});
         }
         const auto [other, isNew] = ports.emplace(rule.port, id);
         if (!isNew) {
-            findings.add({file, place + "/port",
+            findings.add({file, location + "/port",
                           "port " + std::to_string(rule.port) + " is already used by service '"
                               + other->second.name() + "'",
                           "a unique port for each service"});
         }
         const auto size = sizes.find(rule.pool);
         if (size == sizes.end() || rule.instances > size->second) {
-            findings.add({file, place + "/instances",
+            findings.add({file, location + "/instances",
                           "pool '" + rule.pool.name() + "' has fewer hosts than instances",
                           "at most one instance for each host"});
         }
@@ -124,9 +124,9 @@
         .cores = static_cast<std::uint16_t>(cursor.number("cores", 1, kMaxCores)),
         .memoryGb = static_cast<std::uint16_t>(cursor.number("memoryGb", 1, kMaxMemoryGb)),
     };
-    boost::system::error_code failed;
-    boost::asio::ip::make_address(spec.address, failed);
-    if (failed)
+    boost::system::error_code error;
+    boost::asio::ip::make_address(spec.address, error);
+    if (error)
         cursor.report("address", "is not an IP address", "an IPv4 or IPv6 address");
     return spec;
 }
@@ -161,7 +161,7 @@
     });
     cursor.forEach("notRunStatuses", false, [&rule](const JsonCursor &status) {
         status.allowOnly({"status"});
-        const auto code = status.number("status", kLowestStatus, kHighestStatus);
+        const auto code = status.number("status", kMinErrorStatus, kMaxErrorStatus);
         rule.notRunStatuses.push_back(static_cast<int>(code));
     });
     return rule;
@@ -201,14 +201,14 @@
 {
     std::map<std::string, HostId> addresses;
     for (const auto &[id, host] : candidate.hosts) {
-        const std::string place = "/hosts/" + id.name();
+        const std::string location = "/hosts/" + id.name();
         if (!candidate.pools.contains(host.pool)) {
-            findings.add({file, place + "/pool", "pool '" + host.pool.name() + "' is unknown",
+            findings.add({file, location + "/pool", "pool '" + host.pool.name() + "' is unknown",
                           "a pool of the rules"});
         }
         const auto [other, isNew] = addresses.emplace(host.address, id);
         if (!isNew) {
-            findings.add({file, place + "/address",
+            findings.add({file, location + "/address",
                           "address " + host.address + " is already used by host '"
                               + other->second.name() + "'",
                           "a unique address for each host"});
--- a/src/rollout/logcodec.cpp
+++ b/src/rollout/logcodec.cpp
@@ -22,7 +22,7 @@
     return nullptr;
 }
 
-std::optional<TableWrite> rowFor(const Change &change, const LogHead &next)
+std::optional<TableWrite> writeForChange(const Change &change, const LogHead &next)
 {
     TableWrite write{.version = next.sequence.value};
     if (const auto *host = std::get_if<HostChange>(&change)) {
@@ -36,7 +36,7 @@
         write.data = toJson(wave->record).serialize();
     } else if (const auto *config = std::get_if<ConfigChange>(&change)) {
         if (next.baseVersion == config->version)
-            return std::nullopt;
+            return std::nullopt; // The new base configuration already contains the patch.
         write.key = {"config", rowOf(Sequence{config->version.value})};
         write.data = toJson(config->patch).serialize();
     }
@@ -106,8 +106,8 @@
                       .version = next.sequence.value,
                       .data = data});
     for (const Change &change : entry.changes) {
-        if (auto row = rowFor(change, next))
-            writes.push_back(std::move(*row));
+        if (auto changeWrite = writeForChange(change, next))
+            writes.push_back(std::move(*changeWrite));
     }
     return writes;
 }
--- a/src/routing/refusalreason.cpp
+++ b/src/routing/refusalreason.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-struct Row
+struct ReasonInfo
 {
     RefusalReason reason;
     std::string_view name;
     int status;
 };
 
-constexpr std::array<Row, kRefusalReasonCount> kRows{{
+constexpr std::array<ReasonInfo, kRefusalReasonCount> kReasons{{
     {RefusalReason::BadRequest, "bad_request", 400},
     {RefusalReason::HeaderTooLarge, "header_too_large", 431},
     {RefusalReason::BodyTooLarge, "body_too_large", 413},
@@ -45,23 +45,23 @@
 constexpr bool isOrdered()
 {
     for (int index = 0; index < kRefusalReasonCount; ++index) {
-        if (static_cast<int>(kRows[index].reason) != index)
+        if (static_cast<int>(kReasons[index].reason) != index)
             return false;
     }
     return true;
 }
-static_assert(isOrdered(), "kRows must be in the order of RefusalReason");
+static_assert(isOrdered(), "kReasons must be in the order of RefusalReason");
 
 } // namespace
 
 std::string_view nameOf(RefusalReason reason)
 {
-    return kRows[static_cast<std::size_t>(reason)].name;
+    return kReasons[static_cast<std::size_t>(reason)].name;
 }
 
 int statusOf(RefusalReason reason)
 {
-    return kRows[static_cast<std::size_t>(reason)].status;
+    return kReasons[static_cast<std::size_t>(reason)].status;
 }
 
 std::string_view nameOf(ExecutionStatus execution)
--- a/src/routing/retrybudget.cpp
+++ b/src/routing/retrybudget.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::uint64_t kHundredPercent = 100;
+constexpr std::uint64_t kPercentDenominator = 100;
 
 } // namespace
 
@@ -17,7 +17,8 @@
 bool RetryBudget::tryAcquire(Instant now)
 {
     startMinute(now);
-    if ((m_retries + 1) * kHundredPercent > m_firstAttempts * static_cast<std::uint64_t>(m_percent))
+    if ((m_retries + 1) * kPercentDenominator
+        > m_firstAttempts * static_cast<std::uint64_t>(m_percent))
         return false;
     ++m_retries;
     return true;
--- a/src/routing/servicerouter.cpp
+++ b/src/routing/servicerouter.cpp
@@ -202,7 +202,7 @@
         return false;
     if (!upstream.isStarting)
         return true;
-    // With a fresh view, the change to ready is received in time.
+    // An entry host with a fresh view learns in time that an instance has become ready.
     return !request.viewIsFresh
         && std::none_of(m_upstreams.begin(), m_upstreams.end(), [&](const auto &item) {
                return !item.second.isStarting && isInReach(item.second);
--- a/tests/fleet/poolplanner_test.cpp
+++ b/tests/fleet/poolplanner_test.cpp
@@ -140,8 +140,9 @@
     const auto runWith = [&](bool isZoneUp, int rounds) {
         for (int round = 0; round < rounds; ++round) {
             for (auto &[id, worker] : world.workers) {
-                const bool isLost = world.committed.config().hosts.at(id).zone == ZoneId("z2");
-                worker.isUp = !isLost || isZoneUp;
+                const bool isInLostZone = world.committed.config().hosts.at(id).zone
+                    == ZoneId("z2");
+                worker.isUp = !isInLostZone || isZoneUp;
             }
             for (EntryHostObservation &entry : world.entryHosts)
                 entry.acknowledged = world.committed.sequence();
@@ -267,11 +268,13 @@
 
 TEST_CASE("PoolPlanner: entries committed without the check of the head: a budget is violated")
 {
-    // Shows that the property above can fail, and that it depends on the check of the head: without
-    // the check, an entry decided on an outdated state is committed.
-    int broken = 0;
+    // Shows that the property above can fail, and that it depends on the check that the head of the
+    // change log has not moved since the decision: without the check, an entry decided on an
+    // outdated state is committed.
+    int violatingSchedules = 0;
     for (std::uint32_t seed = 1; seed <= 100; ++seed)
-        broken += runSchedule(seed, false).empty() ? 0 : 1;
-    CHECK(broken > 0);
-    WARN("without the check of the head " << broken << " of 100 schedules violate a promise");
+        violatingSchedules += runSchedule(seed, false).empty() ? 0 : 1;
+    CHECK(violatingSchedules > 0);
+    WARN("without the check of the head " << violatingSchedules
+                                          << " of 100 schedules violate a guarantee");
 }
--- a/tests/register/registerparser_test.cpp
+++ b/tests/register/registerparser_test.cpp
@@ -24,7 +24,7 @@
 
     Register parse() { return parseRegister({"register", hosts}, {"rules", rules}); }
 
-    std::vector<std::string> places()
+    std::vector<std::string> locations()
     {
         try {
             parse();
@@ -61,13 +61,13 @@
     replace(rules, "\"slots\":8", "\"slots\":8,\"colour\":1");
     const std::vector<std::string> expected{"register/hosts/0/address", "register/hosts/1/id",
                                             "rules/services/0/colour", "rules/services/0/port"};
-    CHECK(places() == expected);
+    CHECK(locations() == expected);
 }
 
 TEST_CASE_METHOD(RegisterParserTest, "parseRegister: a budget that allows no wave: is a finding")
 {
     replace(rules, "\"minAvailable\":1", "\"minAvailable\":2");
-    CHECK(places() == std::vector<std::string>{"rules/pools/p/minAvailable"});
+    CHECK(locations() == std::vector<std::string>{"rules/pools/p/minAvailable"});
 }
 
 TEST_CASE_METHOD(RegisterParserTest, "parseRegister: a port used by two services: is a finding")
@@ -75,13 +75,13 @@
     replace(rules, "\"services\":[",
             R"("services":[{"id":"t","pool":"p","instances":1,"port":7000,"slots":8,
                "connections":64},)");
-    CHECK(places() == std::vector<std::string>{"rules/services/t/port"});
+    CHECK(locations() == std::vector<std::string>{"rules/services/t/port"});
 }
 
 TEST_CASE_METHOD(RegisterParserTest, "parseRegister: text that is not JSON: is refused by name")
 {
     hosts = "{";
-    CHECK(places() == std::vector<std::string>{"register"});
+    CHECK(locations() == std::vector<std::string>{"register"});
 }
 
 TEST_CASE("checkTransition: a port that passes to another service: is a finding")
--- a/tests/rollout/changelog_test.cpp
+++ b/tests/rollout/changelog_test.cpp
@@ -98,9 +98,9 @@
     const std::vector<Change> changes{ConfigChange{{1}, difference(Register{}, large)}};
     CHECK(append(head, changes, large) == AppendOutcome::Committed);
     CHECK(log.load().config() == large);
-    FleetState follower;
-    CHECK(follower.apply(log.readAfter({}, 1).at(0)));
-    CHECK(follower.config() == large);
+    FleetState rebuilt;
+    CHECK(rebuilt.apply(log.readAfter({}, 1).at(0)));
+    CHECK(rebuilt.config() == large);
 }
 
 TEST_CASE_METHOD(ChangeLogTest,
--- a/tests/routing/claimstore_test.cpp
+++ b/tests/routing/claimstore_test.cpp
@@ -148,11 +148,11 @@
                 }
                 // The holder crashes after it has sent the request (0), releases the claim before
                 // it sends the request (1), or sends it and records the outcome (2).
-                const int fate = *rc::gen::inRange(0, 3);
+                const int holderAction = *rc::gen::inRange(0, 3);
                 ClaimRecord record = handle->record;
-                record.state = fate == 1 ? ClaimState::Released : ClaimState::Done;
-                runs[batch[index].key.row] += fate == 1 ? 0 : 1;
-                if (fate != 0)
+                record.state = holderAction == 1 ? ClaimState::Released : ClaimState::Done;
+                runs[batch[index].key.row] += holderAction == 1 ? 0 : 1;
+                if (holderAction != 0)
                     store.recordOutcome(*handle, record);
             }
             if (*rc::gen::inRange(0, 3) == 0)
--- a/tests/routing/servicerouter_test.cpp
+++ b/tests/routing/servicerouter_test.cpp
@@ -158,7 +158,7 @@
         std::vector<Endpoint> held;
         std::map<WaiterId, bool> waiting;
         const int steps = *rc::gen::inRange(1, 300);
-        const auto take = [&](const std::vector<SlotGrant> &grants) {
+        const auto recordGrants = [&](const std::vector<SlotGrant> &grants) {
             for (const SlotGrant &grant : grants) {
                 RC_ASSERT(waiting.erase(grant.waiter) == 1U);
                 held.push_back(grant.endpoint);
@@ -178,7 +178,7 @@
                 const auto result = *rc::gen::element(AttemptResult::Responded,
                                                       AttemptResult::Refused,
                                                       AttemptResult::IncompleteResponse);
-                take(router.releaseSlot(endpoint, result, Millis(5), now));
+                recordGrants(router.releaseSlot(endpoint, result, Millis(5), now));
             }
             std::map<HostId, int> perHost;
             for (const Endpoint &endpoint : held)
@@ -190,7 +190,7 @@
             const Endpoint endpoint = held.back();
             held.pop_back();
             now += Millis(40000);
-            take(router.releaseSlot(endpoint, AttemptResult::Responded, Millis(5), now));
+            recordGrants(router.releaseSlot(endpoint, AttemptResult::Responded, Millis(5), now));
         }
         RC_ASSERT(waiting.empty());
         RC_ASSERT(router.inFlight() == 0);
--- a/tests/support/fleetworld.h
+++ b/tests/support/fleetworld.h
@@ -11,12 +11,14 @@
 namespace oleanderhall::test {
 
 /// A fake environment for PoolPlanner: the change log, workers, entry hosts and time. Several
-/// deciders act on it, each with its own state and observations, which are as old as the test makes
-/// them. Checks each committed entry and collects the violations of the fleet's guarantees.
+/// deciders act on it, each with its own state and observations, which become outdated unless the
+/// test calls sync() and observe(). Checks each committed entry and collects the violations of the
+/// fleet's guarantees.
 class FleetWorld
 {
 public:
-    /// If `checksHead` is false, entries are committed even if they were decided on an old head.
+    /// If `checksHead` is false, entries are committed even if the head of the log has moved since
+    /// they were decided.
     explicit FleetWorld(bool checksHead)
         : m_checksHead(checksHead)
     {
