--- a/include/oleanderhall/platform/table.h
+++ b/include/oleanderhall/platform/table.h
@@ -8,8 +8,9 @@
 
 /// A Table is a transactional table service. transact() applies all writes or none; it throws
 /// ConditionFailed or PlatformUnavailable (no write was applied), or OutcomeUnknown (the writes may
-/// have been applied or may be applied later). A repeated `token` marks a repetition of the same
-/// transaction. read() and query() are strongly consistent and throw PlatformUnavailable.
+/// have been applied or may be applied later). A call with the same `token` as an earlier one is a
+/// repetition of the same transaction. read() and query() are strongly consistent and throw
+/// PlatformUnavailable.
 template <typename T>
 concept Table = requires(T table, const std::vector<TableWrite> &writes, const std::string &token,
                          const TableKey &key, const TableQuery &query)
--- a/include/oleanderhall/platform/tabletypes.h
+++ b/include/oleanderhall/platform/tabletypes.h
@@ -53,7 +53,7 @@
 struct TableQuery
 {
     std::string partition;
-    std::string after; ///< Return only rows that sort after this one.
+    std::string after; ///< Only rows that sort after this one are returned.
     std::size_t limit = 500; ///< The highest number of rows in the page.
 };
 
--- a/include/oleanderhall/platform/workerclient.h
+++ b/include/oleanderhall/platform/workerclient.h
@@ -21,7 +21,7 @@
     /// the services in the command.
     static std::string commandBody(const WorkerCommand &command, const Register &config);
     /// Sends a command with its body. Throws PlatformUnavailable or OutcomeUnknown unless the
-    /// worker is known to have accepted the command, which may then be sent again.
+    /// worker is known to have accepted it. After an exception the command may be sent again.
     void send(const WorkerCommand &command, const std::string &body);
     /// Queries the state of the worker on `host`. Throws PlatformUnavailable when it doesn't
     /// respond or its response is malformed.
--- a/src/http/call.h
+++ b/src/http/call.h
@@ -21,8 +21,9 @@
     HeaderList headers; ///< End-to-end fields only; see isHopByHop().
     std::string body;
     Instant received;
-    Instant deadline; ///< Received plus the request's or the service's timeout.
-    /// The service's rule marks this method and path as not idempotent; needs an idempotency key.
+    Instant deadline; ///< `received` plus the request's timeout or the service's default.
+    /// Whether the service's rule marks this method and path as not idempotent. Such a call needs
+    /// an idempotency key.
     bool isUnrepeatable = false;
     std::string idempotencyKey; ///< Empty if the request has none.
 };
--- a/src/http/callerserver.cpp
+++ b/src/http/callerserver.cpp
@@ -133,7 +133,8 @@
         if (m_isStopping)
             co_return;
         if (failed) {
-            // Most likely out of file descriptors. Retry later, when connections have been closed.
+            // The process has probably run out of file descriptors. Retry later, when connections
+            // may have been closed.
             constexpr Millis kAcceptRetryDelay{20};
             asio::steady_timer timer(m_acceptor.get_executor(), kAcceptRetryDelay);
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, failed));
@@ -183,7 +184,8 @@
     parser.body_limit(m_limits.bodyBytes);
     beast::error_code failed;
     if (session->buffer.size() == 0) {
-        // Waits for the first byte. An idle connection occupies no more than its buffer.
+        // Wait for the first byte. No memory is reserved for a body while the connection is idle,
+        // so that it holds little more than its read buffer.
         session->stream.expires_after(m_limits.idleTimeout);
         const std::size_t received = co_await session->stream.async_read_some(
             session->buffer.prepare(1024), asio::redirect_error(asio::use_awaitable, failed));
@@ -238,8 +240,8 @@
     session->reservedBytes = size;
     beast::error_code failed;
     if (beast::iequals(header[http::field::expect], "100-continue")) {
-        http::response<http::empty_body> proceed(http::status::continue_, header.version());
-        co_await http::async_write(session->stream, proceed,
+        http::response<http::empty_body> interim(http::status::continue_, header.version());
+        co_await http::async_write(session->stream, interim,
                                    asio::redirect_error(asio::use_awaitable, failed));
     }
     session->startReadTimer(headerEnd + m_limits.bodyTimeout);
@@ -275,17 +277,17 @@
     m_metrics.countRefusal(refusal.reason);
     constexpr unsigned kHttpVersion = 11;
     co_await write(session, problemReply(refusal), kHttpVersion, false, false);
-    beast::error_code ignored;
-    session->stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    // Continue to read for a moment: closing with unread data sends a reset, by which the caller
-    // may lose the refusal.
+    beast::error_code failed;
+    session->stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, failed);
+    // Read on for a limited time. Closing a socket with unread data sends a TCP reset, which may
+    // discard the refusal before the caller has read it.
     constexpr int kMaxLingerReads = 16;
     constexpr Millis kLingerTime{1000};
     session->stream.expires_after(kLingerTime);
-    for (int count = 0; count < kMaxLingerReads && !ignored; ++count) {
+    for (int count = 0; count < kMaxLingerReads && !failed; ++count) {
         std::array<char, 4096> discarded;
-        co_await session->stream.async_read_some(
-            asio::buffer(discarded), asio::redirect_error(asio::use_awaitable, ignored));
+        co_await session->stream.async_read_some(asio::buffer(discarded),
+                                                 asio::redirect_error(asio::use_awaitable, failed));
     }
     co_return false;
 }
--- a/src/http/callerserver.h
+++ b/src/http/callerserver.h
@@ -34,7 +34,7 @@
 {
     std::size_t headerBytes = 8192;
     std::size_t bodyBytes = 1UL << 20; ///< Body of one request.
-    std::size_t bufferedBytes = 8UL << 20; ///< Total over the bodies of all requests.
+    std::size_t bufferedBytes = 8UL << 20; ///< Total size of all requests' bodies in memory.
     int connections = 512;
     Millis headerTimeout{5000}; ///< From the first byte to the end of the header.
     Millis bodyTimeout{10000}; ///< From the end of the header to the end of the body.
@@ -57,7 +57,8 @@
     void drain();
     /// Stops accepting connections and closes idle ones. Requests in flight are still answered.
     void stop();
-    /// Returns the number of requests from their first byte until the response is written.
+    /// Returns the number of requests whose first byte was received and whose response is not yet
+    /// written.
     int requestsInFlight() const { return m_requestsInFlight; }
     int connectionCount() const { return m_connectionCount; }
 
@@ -70,7 +71,7 @@
     boost::asio::awaitable<void> runSession(SessionPtr session);
     /// Returns whether the connection stays open for another request.
     boost::asio::awaitable<bool> serveRequest(SessionPtr session);
-    /// Returns nothing if the body was read.
+    /// Returns nothing if the body was read, otherwise the reason for refusing the request.
     boost::asio::awaitable<std::optional<Refusal>> readBody(SessionPtr session, Instant headerEnd);
     boost::asio::awaitable<bool> write(SessionPtr session, const Reply &reply, unsigned version,
                                        bool keepAlive, bool isHead);
--- a/src/http/callparser.h
+++ b/src/http/callparser.h
@@ -26,7 +26,7 @@
 std::variant<Call, Refusal> parseCall(HttpRequest &request, const RuleLookup &ruleOf, Instant now);
 
 /// Internal: returns whether a header field is not forwarded, because it applies to one connection
-/// only or is set anew for each (Content-Length, Expect). Ignores case.
+/// only or is set anew for each request (Content-Length, Expect). Ignores case.
 bool isHopByHop(std::string_view name);
 
 } // namespace oleanderhall
--- a/src/http/claimservice.cpp
+++ b/src/http/claimservice.cpp
@@ -138,6 +138,8 @@
     updateCircuitBreaker(outcomes);
     for (std::size_t index = 0; index < batch.size(); ++index) {
         const auto *refusal = std::get_if<Refusal>(&outcomes[index]);
+        // The table may still apply a claim that it did not confirm, and a claim whose request has
+        // timed out is not used. Both are released in the background.
         const bool mayStillTakeEffect = refusal
             && refusal->reason == RefusalReason::ClaimsUnavailable;
         const bool isDelivered = batch[index].result->set(outcomes[index]);
@@ -180,7 +182,7 @@
         const Instant now = std::chrono::steady_clock::now();
         if (write.notBefore > now) {
             m_outcomeWrites.push_back(std::move(write));
-            constexpr Millis kPollInterval{50}; // while only delayed writes are queued
+            constexpr Millis kPollInterval{50}; // after each write that is not due yet
             m_outcomeWritesChanged.wait_for(lock, kPollInterval);
             if (m_isStopping)
                 return;
--- a/src/http/claimservice.h
+++ b/src/http/claimservice.h
@@ -29,10 +29,11 @@
     ClaimService(const ClaimService &) = delete;
     ClaimService &operator=(const ClaimService &) = delete;
 
-    /// Claims the right to send a request with the idempotency key `key`. A repetition
-    /// with the same key must have the same `content` (method, target and body). Completes with the
-    /// claim, the stored response or a refusal; with ClaimsUnavailable if the table doesn't answer
-    /// in time or by `deadline`, and at once while the circuit breaker is open.
+    /// Claims the right to send a request with the idempotency key `key`. A repetition with the
+    /// same key must have the same `content` (method, target and body). Completes with the claim,
+    /// the stored response or a refusal. The refusal is ClaimsUnavailable if the table doesn't
+    /// respond within a fixed time or by `deadline`; while the circuit breaker is open, this
+    /// refusal is immediate.
     boost::asio::awaitable<ClaimOutcome> claim(std::string service, std::string key,
                                                std::string content, Instant deadline);
     /// Queues the outcome of a request for writing to its claim. Doesn't block. If the table stays
@@ -50,7 +51,8 @@
     {
         ClaimHandle handle;
         ClaimRecord record;
-        bool isRelease = false; ///< Release the claim if its row holds the handle's token.
+        /// Whether to release the claim, provided that its row holds the handle's token.
+        bool isRelease = false;
         int attemptsLeft = 0;
         Instant notBefore;
     };
@@ -58,13 +60,14 @@
     void claimLoop();
     void outcomeWriteLoop();
     /// Returns the claims of the next transaction, at most one for each key. Blocks until there are
-    /// some; returns none when the service stops.
+    /// some. Returns none when the service is stopping and no claim is pending.
     std::vector<PendingClaim> takeBatch();
     void claimBatch(const std::vector<PendingClaim> &batch);
     /// Returns false if the write has to be attempted again.
     bool writeOutcome(const OutcomeWrite &write);
     void enqueueWrite(OutcomeWrite write);
-    /// Counts a failure only if the whole batch got no answer of the table.
+    /// Records a failure if every claim of the batch ended with ClaimsUnavailable, otherwise a
+    /// success.
     void updateCircuitBreaker(const std::vector<ClaimOutcome> &outcomes);
     std::string newToken();
 
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr int kMaxAttempts = 4; // per request
-constexpr int kMinLatencyMultiple = 3; // least attempt time, in expected latencies
-constexpr Millis kMinAttemptTime{50}; // if another attempt may follow
+constexpr int kMinLatencyMultiple = 3; // expected latencies that a shortened attempt must allow
+constexpr Millis kMinAttemptTime{50}; // of a shortened attempt
 constexpr Millis kRetryAfter{1000};
 
 Instant timeNow()
@@ -38,17 +38,17 @@
         != rule.notRunStatuses.end();
 }
 
-/// Returns the deadline of the next attempt. A request that may be retried reserves half of its
-/// remaining time for the retry, provided that the other half is several times the expected
-/// latency. Cutting off an attempt that would have been answered wastes the upstream slot that it
-/// occupies.
-Instant attemptDeadline(const Call &call, int attempts, Millis expected)
+/// Returns the deadline of the next attempt. If the request may be retried, the attempt is
+/// shortened to half of the remaining time, so that the other half is left for a retry. If half is
+/// less than kMinLatencyMultiple expected latencies, the attempt is not shortened: cutting off an
+/// attempt that would have succeeded wastes the upstream slot that it occupies.
+Instant attemptDeadline(const Call &call, int attempts, Millis expectedLatency)
 {
     const Instant now = timeNow();
     if (call.isUnrepeatable || attempts + 1 >= kMaxAttempts)
         return call.deadline;
     const auto half = std::chrono::duration_cast<Millis>((call.deadline - now) / 2);
-    if (half < kMinLatencyMultiple * expected)
+    if (half < kMinLatencyMultiple * expectedLatency)
         return call.deadline;
     return std::min(call.deadline, now + std::max(half, kMinAttemptTime));
 }
@@ -214,7 +214,7 @@
 }
 
 std::optional<Reply> Dispatcher::retryOrRefuse(const Call &call, Progress &progress,
-                                               RetryReason retry, const Refusal &refusal)
+                                               RetryReason reason, const Refusal &refusal)
 {
     // An unrepeatable request may be sent again only if it is certain that it was not executed.
     const bool mayRetry = !call.isUnrepeatable || refusal.execution == ExecutionStatus::NotExecuted;
@@ -224,7 +224,7 @@
         m_deps.metrics.count("retry_budget_denials_total");
         return refuse(call, progress, refusal);
     }
-    m_deps.metrics.countRetry(retry);
+    m_deps.metrics.countRetry(reason);
     return std::nullopt;
 }
 
--- a/src/http/dispatcher.h
+++ b/src/http/dispatcher.h
@@ -53,7 +53,7 @@
     boost::asio::awaitable<std::optional<Reply>> acquireClaim(Call &call, Progress &progress);
     std::optional<Reply> handleOutcome(Call &call, Progress &progress, const Endpoint &endpoint,
                                        UpstreamOutcome outcome);
-    std::optional<Reply> retryOrRefuse(const Call &call, Progress &progress, RetryReason retry,
+    std::optional<Reply> retryOrRefuse(const Call &call, Progress &progress, RetryReason reason,
                                        const Refusal &refusal);
     Reply forwardResponse(const Call &call, Progress &progress, Reply reply);
     Reply refuse(const Call &call, Progress &progress, Refusal refusal);
--- a/src/http/httpclient.cpp
+++ b/src/http/httpclient.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr Millis kConnectTimeout{400}; // TCP retransmits a lost SYN only after 1 s
-constexpr int kUnackedTimeoutMs = 2000; // for sent bytes without acknowledgement
+constexpr int kUnackedTimeoutMs = 2000; // how long sent data may stay unacknowledged
 constexpr std::size_t kBufferBytes = 4096;
 constexpr std::uint64_t kMaxResponseBytes = 16UL << 20;
 
@@ -147,7 +147,7 @@
     const auto onFailure = [this](const std::shared_ptr<Connection> &target) {
         Pending &pending = target->pending;
         // The server may have closed the reused connection in the meantime; a retryable call is
-        // sent once more, on a new one.
+        // sent once more, on another connection.
         const bool isStale = target->wasUsed && pending.call.isRetryable && !pending.isRetry
             && monotonicNow() < pending.sent + pending.call.timeout;
         if (!isStale) {
@@ -175,24 +175,25 @@
                         return;
                     }
                     auto response = connection->parser->release();
-                    const bool keep = response.keep_alive();
+                    const bool keepOpen = response.keep_alive();
                     self->finish(connection,
                                  {.outcome = HttpResult::Outcome::Responded,
                                   .status = static_cast<int>(response.result_int()),
                                   .body = std::move(response.body())},
-                                 keep);
+                                 keepOpen);
                 });
         });
 }
 
-void HttpClient::finish(const std::shared_ptr<Connection> &connection, HttpResult result, bool keep)
+void HttpClient::finish(const std::shared_ptr<Connection> &connection, HttpResult result,
+                        bool keepOpen)
 {
     Pending pending = std::move(connection->pending);
     result.sent = pending.sent;
     connection->isBusy = false;
     connection->wasUsed = true;
     connection->stream.expires_never();
-    if (!keep)
+    if (!keepOpen)
         retire(connection);
     pending.done(std::move(result));
     dispatchQueued();
--- a/src/http/httpclient.h
+++ b/src/http/httpclient.h
@@ -26,7 +26,7 @@
     HeaderList headers;
     std::string body;
     Millis timeout{1000}; ///< From send() to the end of the response.
-    /// If a reused connection fails, the call may be sent a second time on a new one.
+    /// If a reused connection fails, the call may be sent a second time, on another connection.
     bool isRetryable = false;
 };
 
@@ -78,7 +78,7 @@
     void dispatchQueued();
     void connect(const std::shared_ptr<Connection> &connection);
     void write(const std::shared_ptr<Connection> &connection);
-    void finish(const std::shared_ptr<Connection> &connection, HttpResult result, bool keep);
+    void finish(const std::shared_ptr<Connection> &connection, HttpResult result, bool keepOpen);
     void retire(const std::shared_ptr<Connection> &connection);
 
     boost::asio::io_context &m_io;
--- a/src/http/requesttraces.h
+++ b/src/http/requesttraces.h
@@ -20,8 +20,8 @@
 class RequestTraces
 {
 public:
-    /// Discards a trace whose request ID is empty or too long, and the oldest one if there are too
-    /// many.
+    /// Ignores a trace whose request ID is empty or too long. Otherwise adds it and discards the
+    /// oldest trace if the maximum number is exceeded.
     void add(RequestTrace trace);
     /// Returns the latest trace with this ID.
     std::optional<RequestTrace> find(const std::string &requestId) const;
--- a/src/http/routetable.h
+++ b/src/http/routetable.h
@@ -50,8 +50,8 @@
                  Millis duration);
     /// Returns whether requests may be sent to `endpoint` according to the current view.
     bool isCurrent(const std::string &service, const Endpoint &endpoint) const;
-    /// Returns how many connections this entry host may have open to one upstream: its even share
-    /// of the lowest connection limit of any service, at least 1.
+    /// Returns how many connections to one upstream this entry host may use: the lowest connection
+    /// limit of any service, divided by the number of entry hosts, but at least 1.
     int maxConnectionsPerUpstream() const;
     /// Returns the number of ready upstreams over all services.
     int upstreamCount() const;
--- a/src/http/upstreamclient.h
+++ b/src/http/upstreamclient.h
@@ -44,8 +44,8 @@
     boost::asio::awaitable<UpstreamOutcome> send(const Endpoint &endpoint, const Call &call,
                                                  Instant deadline, bool mayReuse);
 
-    /// Sets the limit of open connections to one upstream up to which they are kept for reuse. It
-    /// doesn't limit new connections.
+    /// Sets the limit for reuse: after a response, a connection is kept only while fewer than
+    /// `connections` others to the same upstream are open. New connections are not limited.
     void setMaxConnections(int connections) { m_maxConnections = connections; }
     /// Closes connections that have been idle for longer than the idle timeout.
     void closeIdle(Instant now);
--- a/src/peer/peerserver.h
+++ b/src/peer/peerserver.h
@@ -10,8 +10,8 @@
 
 namespace oleanderhall {
 
-/// Internal: the data that a PeerServer serves. The owner of the data implements the functions and
-/// locks it in them; they are called from the threads of the server.
+/// Internal: access to the data that a PeerServer serves. The functions are called from the
+/// server's threads and must do the necessary locking.
 struct PeerSource
 {
     /// Calls the visitor with the state, which can't change during the call.
--- a/tests/http/callerserver_test.cpp
+++ b/tests/http/callerserver_test.cpp
@@ -82,8 +82,9 @@
         return response;
     }
 
-    static bool has(const std::string &response, const std::string &status,
-                    const std::string &reason)
+    /// Returns whether `response` is a refusal that reports the request as not executed.
+    static bool isRefusal(const std::string &response, const std::string &status,
+                          const std::string &reason)
     {
         return response.starts_with("HTTP/1.1 " + status)
             && response.find("\"reason\":\"" + reason + "\",\"ran\":\"no\"") != std::string::npos;
@@ -151,14 +152,14 @@
 {
     const std::string response = exchange("GET /alpha/x HTTP/1.1\r\nX: " + std::string(100000, 'x')
                                           + "\r\n\r\n");
-    CHECK(has(response, "431", "header_too_large"));
+    CHECK(isRefusal(response, "431", "header_too_large"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: a body over the limit: refused before it is read")
 {
     const std::string response = exchange(
         "POST /alpha/x HTTP/1.1\r\nHost: h\r\nContent-Length: 104857600\r\n\r\nx");
-    CHECK(has(response, "413", "body_too_large"));
+    CHECK(isRefusal(response, "413", "body_too_large"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: an endless chunked body: refused at the limit")
@@ -168,7 +169,7 @@
         chunks += "100\r\n" + std::string(256, 'c') + "\r\n";
     const std::string response = exchange(
         "POST /alpha/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
-    CHECK(has(response, "413", "body_too_large"));
+    CHECK(isRefusal(response, "413", "body_too_large"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: two lengths: refused, and nothing is run")
@@ -178,7 +179,7 @@
                                      "Content-Length: 4\r\nContent-Length: 5\r\n"}) {
         const std::string response = exchange("POST /alpha/x HTTP/1.1\r\nHost: h\r\n" + fields
                                               + "\r\n0\r\n\r\nGET /alpha/y HTTP/1.1\r\n\r\n");
-        CHECK(has(response, "400", "bad_request"));
+        CHECK(isRefusal(response, "400", "bad_request"));
     }
     CHECK(upstream.requestCount() == 0);
 }
@@ -188,14 +189,14 @@
     asio::ip::tcp::socket slow = connect();
     FakeUpstream::send(slow, "GET /alpha/x HT");
     CHECK(exchange(kValidRequest).starts_with("HTTP/1.1 200"));
-    CHECK(has(readAll(slow), "408", "request_too_slow"));
+    CHECK(isRefusal(readAll(slow), "408", "request_too_slow"));
 }
 
 TEST_CASE_METHOD(CallerServerTest, "CallerServer: a body that stops half way: refused as too slow")
 {
     const std::string response = exchange(
         "POST /alpha/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nhalf");
-    CHECK(has(response, "408", "request_too_slow"));
+    CHECK(isRefusal(response, "408", "request_too_slow"));
     CHECK(upstream.requestCount() == 0);
 }
 
@@ -216,19 +217,19 @@
     const auto request = [](const std::string &line, const std::string &fields) {
         return line + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + fields + "\r\n";
     };
-    CHECK(has(exchange("nonsense\r\n\r\n"), "400", "bad_request"));
-    CHECK(has(exchange(request("GET /nowhere", "")), "404", "unknown_service"));
+    CHECK(isRefusal(exchange("nonsense\r\n\r\n"), "400", "bad_request"));
+    CHECK(isRefusal(exchange(request("GET /nowhere", "")), "404", "unknown_service"));
     for (const std::string timeout : {"0", "-1", "x", "99999999999", "5s"}) {
         const std::string field = "X-Request-Timeout-Ms: " + timeout + "\r\n";
-        CHECK(has(exchange(request("GET /alpha/x", field)), "400", "bad_timeout"));
+        CHECK(isRefusal(exchange(request("GET /alpha/x", field)), "400", "bad_timeout"));
     }
-    CHECK(has(exchange(request("POST /alpha/orders", "Content-Length: 0\r\n")), "400",
-              "missing_key"));
+    CHECK(isRefusal(exchange(request("POST /alpha/orders", "Content-Length: 0\r\n")), "400",
+                    "missing_key"));
     const std::string key = "Content-Length: 0\r\nIdempotency-Key: ";
-    CHECK(has(exchange(request("POST /alpha/orders", key + std::string(300, 'k') + "\r\n")), "400",
-              "bad_key"));
-    CHECK(has(exchange(request("POST /alpha/orders", key + "a\r\nIdempotency-Key: b\r\n")), "400",
-              "bad_key"));
+    CHECK(isRefusal(exchange(request("POST /alpha/orders", key + std::string(300, 'k') + "\r\n")),
+                    "400", "bad_key"));
+    CHECK(isRefusal(exchange(request("POST /alpha/orders", key + "a\r\nIdempotency-Key: b\r\n")),
+                    "400", "bad_key"));
     CHECK(upstream.requestCount() == 0);
 }
 
@@ -238,7 +239,7 @@
     const std::string response = exchange(
         "POST /alpha/orders HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
         "Content-Length: 0\r\nIdempotency-Key: k\r\n\r\n");
-    CHECK(has(response, "503", "claims_unavailable"));
+    CHECK(isRefusal(response, "503", "claims_unavailable"));
     CHECK(response.find("Retry-After: 1\r\n") != std::string::npos);
     CHECK(upstream.requestCount() == 0);
 }
--- a/tests/http/upstreamclient_test.cpp
+++ b/tests/http/upstreamclient_test.cpp
@@ -130,8 +130,9 @@
 
 TEST_CASE("cpprestsdk's client: the upstream closes after reading: the request is sent twice")
 {
-    // The reason for UpstreamClient: with the same script as above, cpprestsdk's client repeats a
-    // request that the upstream may already have executed.
+    // This is why UpstreamClient exists: when the upstream closes a reused connection after it has
+    // read a request, as in the test above, cpprestsdk's client sends the request again, although
+    // the upstream may already have executed it.
     const FakeUpstream upstream([](auto &socket, const auto &, int number) {
         if (number == 1)
             FakeUpstream::send(socket, FakeUpstream::okResponse("ok"));
--- a/tests/support/memorytable.h
+++ b/tests/support/memorytable.h
@@ -45,7 +45,7 @@
             m_delayedWrites.push_back(writes);
             throw OutcomeUnknown("late");
         case WriteFault::UnknownWithoutEffect:
-            throw OutcomeUnknown("no effect");
+            throw OutcomeUnknown("the writes were dropped");
         }
     }
 
@@ -87,7 +87,7 @@
         try {
             write(writes);
         } catch (const ConditionFailed &) {
-            // The caller is only told that the outcome is unknown.
+            // The outcome is reported as unknown whether or not the conditions hold.
         }
     }
 
