--- a/apps/cli/entryclient.cpp
+++ b/apps/cli/entryclient.cpp
@@ -61,7 +61,8 @@
 }
 
 EntryResponse EntryClient::getMerged(const std::string &path, const std::string &key,
-                                     const std::string &id, const std::string &preferred) const
+                                     const std::string &idKey,
+                                     const std::string &preferredKey) const
 {
     EntryResponse merged;
     std::map<std::string, web::json::value> elements;
@@ -76,8 +77,8 @@
         if (entryResponse.status != kStatusOk)
             return entryResponse;
         for (const web::json::value &element : entryResponse.body.at(key).as_array()) {
-            const std::string name = element.at(id).as_string();
-            if (!elements.contains(name) || element.has_field(preferred))
+            const std::string name = element.at(idKey).as_string();
+            if (!elements.contains(name) || element.has_field(preferredKey))
                 elements[name] = element;
         }
     }
--- a/apps/cli/entryclient.h
+++ b/apps/cli/entryclient.h
@@ -28,12 +28,12 @@
     /// Tries the entry hosts in order until one responds with status 200; else returns the last
     /// response.
     EntryResponse getFromAny(const std::string &path) const;
-    /// Queries all entry hosts and merges the array `key` of their responses by the member `id` of
-    /// its elements. An element with the member `preferred` replaces one without it, because each
-    /// entry host knows only why hosts of its own pools wait. Returns a response with another
-    /// status than 200 as it is; skips entry hosts that don't respond.
-    EntryResponse getMerged(const std::string &path, const std::string &key, const std::string &id,
-                            const std::string &preferred) const;
+    /// Queries all entry hosts and merges the array `key` of their responses by the member `idKey`
+    /// of its elements. An element with the member `preferredKey` replaces one without it, because
+    /// each entry host knows only why hosts of its own pools wait. Returns the first response with
+    /// a status other than 200 unchanged; skips entry hosts that don't respond.
+    EntryResponse getMerged(const std::string &path, const std::string &key,
+                            const std::string &idKey, const std::string &preferredKey) const;
     /// Sends a change to the first entry host only: a change whose response was lost may have been
     /// made, so it isn't repeated at another one.
     EntryResponse post(const std::string &path, const web::json::value &body, bool isDryRun) const;
--- a/apps/cli/main.cpp
+++ b/apps/cli/main.cpp
@@ -80,10 +80,10 @@
 
 int check(const Arguments &arguments)
 {
-    const auto accepted = oleanderhall::parseRegister(readDocument(arguments.registerFile),
-                                                      readDocument(arguments.rulesFile));
-    std::cout << "no findings: " << accepted.hosts.size() << " hosts, " << accepted.pools.size()
-              << " pools, " << accepted.services.size() << " services\n";
+    const auto config = oleanderhall::parseRegister(readDocument(arguments.registerFile),
+                                                    readDocument(arguments.rulesFile));
+    std::cout << "no findings: " << config.hosts.size() << " hosts, " << config.pools.size()
+              << " pools, " << config.services.size() << " services\n";
     return 0;
 }
 
@@ -131,23 +131,23 @@
     const std::string path = "/v1/explain/" + arguments.kind + "/" + arguments.name;
     if (arguments.kind != "request")
         return printResponse(client.get(path), arguments, printExplanation);
-    // Only the entry host that handled a request has its record.
+    // Only the entry host that handled a request has its trace.
     return printResponse(client.getFromAny(path), arguments, printRequest);
 }
 
 /// Adds the subcommands. The callback of the parsed one sets `run` to its action.
 void addCommands(CLI::App &app, Arguments &arguments, std::function<int(const EntryClient &)> &run)
 {
-    const auto documents = [&arguments](CLI::App *command) {
+    const auto addDocumentOptions = [&arguments](CLI::App *command) {
         command->add_option("--register", arguments.registerFile, "Register document")->required();
         command->add_option("--rules", arguments.rulesFile, "Rules document")->required();
     };
     CLI::App *checkCommand = app.add_subcommand("check", "Check documents without any entry host");
-    documents(checkCommand);
+    addDocumentOptions(checkCommand);
     checkCommand->callback([&] { run = [&](const EntryClient &) { return check(arguments); }; });
 
-    CLI::App *applyCommand = app.add_subcommand("apply", "Put a register and its rules in force");
-    documents(applyCommand);
+    CLI::App *applyCommand = app.add_subcommand("apply", "Commit a register and its rules");
+    addDocumentOptions(applyCommand);
     applyCommand->add_option("--base", arguments.base, "Version that the documents are based on");
     applyCommand->callback([&] {
         run = [&](const EntryClient &client) {
@@ -155,7 +155,7 @@
         };
     });
     CLI::App *diffCommand = app.add_subcommand("diff", "Show what apply would change");
-    documents(diffCommand);
+    addDocumentOptions(diffCommand);
     diffCommand->callback(
         [&] { run = [&](const EntryClient &client) { return apply(client, arguments, true); }; });
 
@@ -186,11 +186,13 @@
     moveCommand->add_option("pool", arguments.pool, "Pool")->required();
     moveCommand->callback(
         [&] { run = [&](const EntryClient &client) { return move(client, arguments); }; });
-    CLI::App *explainCommand = app.add_subcommand("explain", "Say why something was decided");
+    CLI::App *explainCommand = app.add_subcommand("explain", "Explain a host, a pool or a request");
     explainCommand->add_option("kind", arguments.kind, "host, pool or request")
         ->required()
         ->check(CLI::IsMember({"host", "pool", "request"}));
-    explainCommand->add_option("name", arguments.name, "Its name")->required();
+    explainCommand
+        ->add_option("name", arguments.name, "Name of the host or pool, or ID of the request")
+        ->required();
     explainCommand->callback(
         [&] { run = [&](const EntryClient &client) { return explain(client, arguments); }; });
 }
@@ -206,8 +208,8 @@
         ->envname("OLEANDERHALL_ENTRY")
         ->delimiter(',');
     app.add_flag("--json", arguments.isJson, "Print the response as JSON");
-    app.add_flag("--dry-run", arguments.isDryRun, "Change nothing");
-    app.add_option("--reason", arguments.reason, "Recorded with the decision");
+    app.add_flag("--dry-run", arguments.isDryRun, "Validate a change without making it");
+    app.add_option("--reason", arguments.reason, "Reason to record with the change");
     addCommands(app, arguments, run);
     try {
         app.parse(argc, argv);
--- a/apps/cli/report.cpp
+++ b/apps/cli/report.cpp
@@ -20,11 +20,11 @@
     return member.is_string() ? member.as_string() : member.serialize();
 }
 
-void printNames(const value &patch, const std::string &key, const std::string &what)
+void printNames(const value &patch, const std::string &key, const std::string &label)
 {
     if (!patch.has_array_field(key) || patch.at(key).size() == 0)
         return;
-    std::cout << "  " << what << ":";
+    std::cout << "  " << label << ":";
     for (const value &item : patch.at(key).as_array())
         std::cout << " " << (item.is_string() ? item.as_string() : textOf(item, "id"));
     std::cout << "\n";
@@ -73,8 +73,8 @@
                   << textOf(member, "acknowledged")
                   << (member.at("leaving").as_bool() ? " leaving" : "") << "\n";
     }
-    for (const value &missing : body.at("notYetAdopted").as_array())
-        std::cout << "not yet adopted by " << missing.as_string() << "\n";
+    for (const value &entryHost : body.at("notYetAdopted").as_array())
+        std::cout << "not yet adopted by " << entryHost.as_string() << "\n";
 }
 
 void printPlan(const value &body)
@@ -134,7 +134,7 @@
     }
     if (body.has_field("difference")) {
         std::cerr << "  the version in force is " << textOf(body, "version")
-                  << "; against it the documents would change:\n";
+                  << "; applied to it, the documents would change:\n";
         printPatch(body.at("difference"));
     }
 }
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -21,11 +21,13 @@
 constexpr int kMaxHeadReads = 3;
 constexpr int kWatcherThreads = 2;
 constexpr Millis kMemberExpiry{8000};
-// Three heartbeats (20 ms each) and a read (150 ms).
+// Three heartbeat periods (20 ms per member each) and one read period (150 ms per member).
 constexpr Millis kMemberExpiryPerMember{210};
-// Still allows four reads of the head within the time in which a change must be adopted.
+// Short enough for four reads of the log's head within the time in which entry hosts must adopt a
+// change.
 constexpr Millis kIdleStepPeriod{1000};
-// Steps run at the configured tick for this long after activity.
+// After a drain or another transition of a host, the loop runs at the configured tick for this long
+// before it slows down to kIdleStepPeriod.
 constexpr Millis kActiveTime{3000};
 
 std::set<PoolId> affectedPools(const FleetState &before, const LogEntry &entry)
--- a/src/daemon/controller.h
+++ b/src/daemon/controller.h
@@ -58,16 +58,18 @@
     /// Appends to `out` the JSON texts of the entries that follow `sequence` until it holds `limit`
     /// texts. Returns false if some of these entries are no longer in memory.
     bool entriesAfter(Sequence sequence, std::size_t limit, std::vector<std::string> &out) const;
-    /// Returns the maximum age of the view.
+    /// Returns an upper bound of the age of the view, measured from the start of the read that last
+    /// renewed its lease.
     Millis viewAge() const;
 
-    /// Returns an entry with its changes and reason for the given state, or nothing if no change is
-    /// needed.
+    /// Returns an entry for the given state, of which only the changes and the reason are set, or
+    /// nothing if no change is needed.
     using Proposer = std::function<std::optional<LogEntry>(const FleetState &)>;
     /// Commits the entry that `propose` returns for the latest state, and calls `propose` again
     /// after a conflict. Returns the sequence of the committed entry, or nothing if there was no
-    /// change. Throws PlatformUnavailable if nothing was changed, OutcomeUnknown if the entry may
-    /// have been committed, and what `propose` throws.
+    /// change. Throws PlatformUnavailable if the table can't be read or conflicts persist, so that
+    /// nothing was changed; OutcomeUnknown if the entry may have been committed; and what `propose`
+    /// throws.
     std::optional<Sequence> commit(const Proposer &propose);
 
     /// Returns the entry hosts that send heartbeats, including those that are leaving.
@@ -128,9 +130,11 @@
     MemberRow m_memberRow;
     HostList m_hostList;
     bool m_hasHostList = false;
-    Sequence m_latestDrainSequence; ///< The latest entry that starts to drain a host.
+    Sequence m_latestDrainSequence; ///< Sequence of the latest entry that starts to drain a host.
     bool m_awaitsAcknowledgements = false; ///< A host of an owned pool is draining.
-    std::atomic<Instant> m_lastActivity{Instant{}}; ///< Also updated by operators' changes.
+    /// When a drain last started or a host of an owned pool was last in transition. Also set by the
+    /// threads that commit operators' changes.
+    std::atomic<Instant> m_lastActivity{Instant{}};
     Wakeup m_wakeup;
     Instant m_nextHeartbeat;
     Instant m_nextMemberRead;
--- a/src/daemon/controllermembers.cpp
+++ b/src/daemon/controllermembers.cpp
@@ -16,7 +16,8 @@
 constexpr Millis kHeartbeatPeriodPerMember{20}; // At most 50 writes per second in total
 constexpr Millis kMinMemberReadPeriod{2000};
 constexpr Millis kMemberReadPeriodPerMember{150}; // Keeps reads below 2 KB per second
-constexpr Millis kDrainingReadPeriodPerMember{30}; // A drain waits for acknowledgements
+// Shorter, because a drain waits for the acknowledgements of all entry hosts.
+constexpr Millis kDrainingReadPeriodPerMember{30};
 constexpr Millis kHostListPeriod{5000};
 constexpr Millis kMinSilenceBeforeRemoval{15000};
 
@@ -29,8 +30,8 @@
     const bool hasUnacknowledgedDrain = m_memberRow.acknowledged < m_latestDrainSequence;
     if (now < m_nextHeartbeat && !hasUnacknowledgedDrain)
         return;
-    const auto members = static_cast<Millis::rep>(m_members.size());
-    m_nextHeartbeat = now + std::max(kMinHeartbeatPeriod, kHeartbeatPeriodPerMember * members);
+    const auto memberCount = static_cast<Millis::rep>(m_members.size());
+    m_nextHeartbeat = now + std::max(kMinHeartbeatPeriod, kHeartbeatPeriodPerMember * memberCount);
     ++m_memberRow.heartbeatCount;
     m_memberRow.acknowledged = m_state.sequence();
     m_memberRow.config = m_state.configVersion();
@@ -49,12 +50,12 @@
 {
     if (now < m_nextMemberRead)
         return;
-    const auto members = static_cast<Millis::rep>(m_members.size());
+    const auto memberCount = static_cast<Millis::rep>(m_members.size());
     m_nextMemberRead = now
         + (m_awaitsAcknowledgements
-               ? kDrainingReadPeriodPerMember * members
-               : std::max(kMinMemberReadPeriod, kMemberReadPeriodPerMember * members));
-    const Sequence readAt = m_state.sequence();
+               ? kDrainingReadPeriodPerMember * memberCount
+               : std::max(kMinMemberReadPeriod, kMemberReadPeriodPerMember * memberCount));
+    const Sequence sequenceBeforeRead = m_state.sequence();
     std::vector<MemberRow> rows;
     try {
         std::string after;
@@ -73,7 +74,7 @@
     std::size_t live = 0;
     {
         const std::unique_lock lock(m_stateMutex);
-        m_members.update(rows, readAt, timeNow());
+        m_members.update(rows, sequenceBeforeRead, timeNow());
         live = m_members.live(timeNow()).size();
     }
     m_metrics.gauge("entry_hosts_live", static_cast<double>(live));
--- a/src/daemon/hostwatcher.h
+++ b/src/daemon/hostwatcher.h
@@ -62,7 +62,8 @@
     };
 
     void run();
-    /// Waits until a host is due and marks it as being polled. Returns nothing at a stop.
+    /// Waits until a host is due and marks it as being polled. Returns nothing when the watcher is
+    /// stopping.
     std::optional<PollTask> takePollTask();
     void execute(const PollTask &task);
     Millis steadyPollPeriod() const;
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr std::size_t
-    kMaxLineBytes = 4000; // Below PIPE_BUF: a pipe takes a line whole or not at all
+// Below PIPE_BUF, so that a line is written to a pipe completely or not at all.
+constexpr std::size_t kMaxLineBytes = 4000;
 
 std::string &entryHostName()
 {
--- a/src/daemon/metrics.cpp
+++ b/src/daemon/metrics.cpp
@@ -26,6 +26,7 @@
                     double sum)
 {
     writeType(out, name, "histogram");
+    // Index -1 is the underflow bin, index size() the overflow bin.
     double cumulative = histogram.at(-1);
     for (const auto &bin : boost::histogram::indexed(histogram)) {
         cumulative += *bin;
--- a/src/daemon/operatorserver.cpp
+++ b/src/daemon/operatorserver.cpp
@@ -20,11 +20,11 @@
 
 struct OperatorServer::Listener
 {
-    Listener(const SocketAddress &address, OperatorApi &calls, Metrics &counters,
-             std::function<bool()> readiness)
-        : api(calls)
-        , metrics(counters)
-        , isReady(std::move(readiness))
+    Listener(const SocketAddress &address, OperatorApi &operatorApi, Metrics &daemonMetrics,
+             std::function<bool()> readinessCheck)
+        : api(operatorApi)
+        , metrics(daemonMetrics)
+        , isReady(std::move(readinessCheck))
         , listener("http://" + address.text())
     {
         listener.support([this](const http_request &request) { handle(request); });
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -39,7 +39,8 @@
     addOption(app, "--peers", raw.peers, "IP:PORT on which other entry hosts are served");
     addOption(app, "--advertise", raw.advertised,
               "IP:PORT at which other entry hosts reach --peers");
-    app.add_option("--seed", raw.seeds, "IP:PORT of another entry host; may be repeated")
+    app.add_option("--seed", raw.seeds,
+                   "IP:PORT of an entry host to load the view from; may be repeated")
         ->envname("OLEANDERHALL_SEED")
         ->delimiter(',');
     addOption(app, "--table", settings.tableUrl, "URL of the platform's table");
@@ -73,7 +74,7 @@
     addOption(app, "--platform-timeout-ms", raw.platformTimeoutMs,
               "Time limit of a platform call in milliseconds");
     addOption(app, "--stop-notice-ms", raw.stopNoticeMs,
-              "Time between 'not ready' and the stop in milliseconds");
+              "Time between reporting 'not ready' and refusing connections in milliseconds");
     addOption(app, "--stop-limit-ms", raw.stopLimitMs,
               "Time limit for requests in flight at a stop in milliseconds");
 }
@@ -167,9 +168,9 @@
     if (colon != std::string::npos) {
         const char *end = text.data() + text.size();
         const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
-        boost::system::error_code failed;
-        boost::asio::ip::make_address(host, failed);
-        isUsable = parsed.ec == std::errc() && parsed.ptr == end && port > 0 && !failed;
+        boost::system::error_code addressError;
+        boost::asio::ip::make_address(host, addressError);
+        isUsable = parsed.ec == std::errc() && parsed.ptr == end && port > 0 && !addressError;
     }
     if (!isUsable)
         findings.add({kSettingsSource, flag, "'" + text + "' is not an address", "IP:PORT"});
--- a/src/daemon/settingsparser.h
+++ b/src/daemon/settingsparser.h
@@ -23,7 +23,7 @@
 template <typename Value>
 void addOption(CLI::App &app, const char *flag, Value &target, const char *help)
 {
-    std::string name = std::string("OLEANDERHALL_") + (flag + 2);
+    std::string name = std::string("OLEANDERHALL_") + (flag + 2); // Without the leading "--"
     for (char &character : name)
         character = character == '-' ? '_' : static_cast<char>(std::toupper(character));
     app.add_option(flag, target, help)->capture_default_str()->envname(name);
--- a/src/daemon/stalebase.h
+++ b/src/daemon/stalebase.h
@@ -8,9 +8,9 @@
 
 namespace oleanderhall {
 
-/// Internal: thrown when a change of the configuration is not based on its current version, because
-/// another change was committed first. Contains the current version and the difference between the
-/// current and the proposed configuration.
+/// Internal: thrown when a proposed configuration is based on a version that is no longer current,
+/// because another change was committed first. Contains the current version and the difference
+/// between the current and the proposed configuration.
 class StaleBase : public std::runtime_error
 {
 public:
