--- a/apps/load/attempt.h
+++ b/apps/load/attempt.h
@@ -11,20 +11,20 @@
 struct Attempt
 {
     std::string operation;
-    int number = 0;
+    int number = 0; ///< Distinguishes the attempts of one operation.
     std::string entry;
     std::string service;
     bool isUnrepeatable = false;
     std::int64_t sentUs = 0;
     std::int64_t doneUs = 0;
     int status = 0; ///< HTTP status; zero without a complete response.
-    std::string executionStatus = "-"; ///< "no", "yes" or "unknown" for a refusal.
-    std::string reason = "-";
+    std::string executionStatus = "-"; ///< "no", "yes" or "unknown" for a refusal, else "-".
+    std::string reason = "-"; ///< Of a refusal; "no_answer" without a complete response.
     std::string respondedRequestId = "-"; ///< Request id in the response's body.
 
     /// Returns the id under which upstreams record the execution of this attempt.
     std::string requestId() const { return operation + "." + std::to_string(number); }
-    /// Returns whether an upstream's response arrived, of whatever status, and no refusal.
+    /// Returns whether the response is that of an upstream, with any status, and not a refusal.
     bool hasUpstreamResponse() const { return status >= 200 && executionStatus == "-"; }
 };
 
--- a/apps/load/callers.cpp
+++ b/apps/load/callers.cpp
@@ -122,9 +122,10 @@
         const bool isDuplicated = operation.isUnrepeatable
             && static_cast<int>(m_random() % kPercent) < m_settings.duplicatePercent;
         if (isDuplicated) {
-            constexpr int kDuplicateNumber = 100; // keeps the attempts' request ids distinct
+            // Differs from the numbers of the other sender, so that no two request ids are equal.
+            constexpr int kDuplicateFirstNumber = 100;
             ++m_openOperations;
-            asio::co_spawn(m_io, perform(operation, kDuplicateNumber), asio::detached);
+            asio::co_spawn(m_io, perform(operation, kDuplicateFirstNumber), asio::detached);
         }
     }
     while (m_openOperations > 0)
--- a/apps/load/callers.h
+++ b/apps/load/callers.h
@@ -33,9 +33,9 @@
 };
 
 /// Callers generate an open load: operations start at a steady rate, independent of the outcome of
-/// earlier ones, at entry hosts that report to be ready. An attempt without an upstream's response
-/// is retried with the same idempotency key, at a ready entry host chosen anew, after a random
-/// delay of 200 to 499 ms.
+/// earlier ones. Each attempt goes to a random entry host that reports readiness, or to any entry
+/// host when none does. An attempt without an upstream's response is retried with the same
+/// idempotency key after a random delay of 200 to 499 ms.
 class Callers
 {
 public:
--- a/apps/load/historycheck.cpp
+++ b/apps/load/historycheck.cpp
@@ -59,7 +59,9 @@
     }
 }
 
-/// Replays the log and checks each planned disruption against the disruption budget of its pool.
+/// Replays the log. Checks that no drain, except of a leaving host, exceeds the disruption budget
+/// of its pool, that no execution starts late on a draining host and that only stopped hosts change
+/// their pool. Measures the duration of waves and the number of serving hosts without an instance.
 class LogChecker
 {
 public:
@@ -164,15 +166,15 @@
             if (execution->startUs <= drainedUs
                 || (rejoinedUs > 0 && execution->startUs >= rejoinedUs))
                 continue;
-            const std::int64_t late = execution->startUs - drainedUs;
-            m_report.maxStartDelayUs = std::max(m_report.maxStartDelayUs, late);
-            if (late <= kStartDelayLimitUs)
+            const std::int64_t delayUs = execution->startUs - drainedUs;
+            m_report.maxStartDelayUs = std::max(m_report.maxStartDelayUs, delayUs);
+            if (delayUs <= kStartDelayLimitUs)
                 continue;
             ++m_report.lateStarts;
             if (!m_isTimed)
                 continue;
             m_report.violations.push_back(execution->requestId + " started on " + execution->host
-                                          + " " + std::to_string(late) + " us after its drain");
+                                          + " " + std::to_string(delayUs) + " us after its drain");
         }
     }
 
@@ -200,19 +202,19 @@
             if (!m_waveStartsUs.contains(wave->record.id))
                 m_waveStartsUs[wave->record.id] = timeOf(entry);
             if (wave->record.status == WaveStatus::Done) {
-                const auto took = timeOf(entry) - m_waveStartsUs[wave->record.id];
-                m_report.rollOutSeconds = std::max(m_report.rollOutSeconds,
-                                                   static_cast<double>(took) / kMicrosPerSecond);
+                const auto durationUs = timeOf(entry) - m_waveStartsUs[wave->record.id];
+                m_report.rollOutSeconds = std::max(
+                    m_report.rollOutSeconds, static_cast<double>(durationUs) / kMicrosPerSecond);
             }
         }
     }
 
     double bufferHostCount() const
     {
-        int spare = 0;
+        int count = 0;
         for (const auto &[id, record] : m_state.hosts())
-            spare += record.state == HostState::Serving && record.instances.empty() ? 1 : 0;
-        return spare;
+            count += record.state == HostState::Serving && record.instances.empty() ? 1 : 0;
+        return count;
     }
 
     const Records &m_records;
--- a/apps/load/historycheck.h
+++ b/apps/load/historycheck.h
@@ -39,15 +39,15 @@
     int wrongResponses = 0;
     int responsesWithoutExecution = 0; ///< Responses whose operation no upstream recorded.
     int budgetViolations = 0;
-    int poolViolations = 0;
+    int poolViolations = 0; ///< Hosts that changed their pool without being stopped.
     int lateStarts = 0; ///< Executions started on a draining host more than 3 s after the drain.
     int cutOff = 0; ///< Attempts without a complete response at a host that was stopped by plan.
-    std::int64_t
-        maxStartDelayUs = 0; ///< Longest time from a drain's commit to the start of an execution.
+    /// Longest time from a drain's commit to the start of an execution.
+    std::int64_t maxStartDelayUs = 0;
     int moves = 0;
-    double rollOutSeconds = 0;
-    double meanBufferHosts = 0; ///< Mean number of serving hosts without an instance since the
-                                ///< first wave.
+    double rollOutSeconds = 0; ///< Duration of the longest completed wave.
+    /// Mean number of serving hosts without an instance since the first wave.
+    double meanBufferHosts = 0;
 };
 
 /// Checks the records against the guarantees of the fleet. When `isTimed` is false, late starts are
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -89,7 +89,7 @@
     records.reserve(config.hosts.size());
     for (const auto &[id, spec] : config.hosts) {
         HostRecord record{.id = id, .pool = spec.pool, .state = HostState::Serving, .epoch = {1}};
-        const std::string number = spec.pool.name().substr(5);
+        const std::string number = spec.pool.name().substr(5); // what follows "pool-"
         record.instances.push_back({ServiceId("service-" + number), InstanceState::Ready});
         records.push_back(std::move(record));
     }
@@ -122,7 +122,7 @@
     }
     const double stateMb = residentMb() - before;
     const HostRecord sample = state.hosts().begin()->second;
-    const auto entryAt = [&](int) {
+    const auto makeEntry = [&](int) {
         LogEntry entry{.sequence = state.sequence().next(),
                        .actor = EntryId("entry-1"),
                        .operation = "entry-1-1234567890-1234567890-100",
@@ -131,9 +131,9 @@
         entry.changes.push_back(HostChange{record});
         return entry;
     };
-    const std::string entryText = toJson(entryAt(0)).serialize();
+    const std::string entryText = toJson(makeEntry(0)).serialize();
     const double applyUs = meanMicroseconds(kRepeats, [&](int count) {
-        const LogEntry entry = parseLogEntry(toJson(entryAt(count)).serialize());
+        const LogEntry entry = parseLogEntry(toJson(makeEntry(count)).serialize());
         state.apply(entry);
     });
     const PoolId pool = state.config().pools.begin()->first;
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -37,22 +37,22 @@
                                                                      kConnectionsPerNode);
 }
 
-void Callers::start(double perSecond, Millis time)
+void Callers::start(double perSecond, Millis duration)
 {
-    asio::co_spawn(m_io, generateJobs(perSecond, time), asio::detached);
+    asio::co_spawn(m_io, generateJobs(perSecond, duration), asio::detached);
 }
 
-asio::awaitable<void> Callers::wait(Millis time)
+asio::awaitable<void> Callers::wait(Millis duration)
 {
-    asio::steady_timer timer(m_io, time);
+    asio::steady_timer timer(m_io, duration);
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<void> Callers::generateJobs(double perSecond, Millis time)
+asio::awaitable<void> Callers::generateJobs(double perSecond, Millis duration)
 {
-    constexpr double kMilli = 1000;
-    const Instant end = std::chrono::steady_clock::now() + time;
-    std::exponential_distribution<double> gap(perSecond / kMilli);
+    constexpr double kMillisPerSecond = 1000;
+    const Instant end = std::chrono::steady_clock::now() + duration;
+    std::exponential_distribution<double> gap(perSecond / kMillisPerSecond);
     while (std::chrono::steady_clock::now() < end) {
         co_await wait(Millis(static_cast<int>(gap(m_random)) + 1));
         asio::co_spawn(m_io, runCaller(makeJob()), asio::detached);
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -24,9 +24,9 @@
     Callers(boost::asio::io_context &io, Deployment &deployment, InvariantChecker &checker,
             std::uint32_t seed);
 
-    /// Submits `perSecond` jobs a second on average for `time`. Each job has a caller of its own,
-    /// which polls the job until it is finished.
-    void start(double perSecond, Millis time);
+    /// Submits `perSecond` jobs per second on average for `duration`. Each job has a caller of its
+    /// own, which polls the job until it is finished.
+    void start(double perSecond, Millis duration);
     /// Returns how many jobs a node accepted.
     std::size_t accepted() const { return m_accepted; }
     /// Returns how many jobs were certainly not accepted.
@@ -35,12 +35,12 @@
     std::size_t unknown() const { return m_unknown; }
 
 private:
-    boost::asio::awaitable<void> generateJobs(double perSecond, Millis time);
+    boost::asio::awaitable<void> generateJobs(double perSecond, Millis duration);
     boost::asio::awaitable<void> runCaller(JobSpec job);
     boost::asio::awaitable<bool> submit(const JobSpec &job);
     boost::asio::awaitable<HttpResult> call(const std::string &method, const JobSpec &job,
                                             std::string body);
-    boost::asio::awaitable<void> wait(Millis time);
+    boost::asio::awaitable<void> wait(Millis duration);
     JobSpec makeJob();
 
     boost::asio::io_context &m_io;
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -19,7 +19,7 @@
 constexpr int kWorkerPortOffset = 50; // two ports per worker: proxy and server
 constexpr const char *kAddress = "127.0.0.1";
 
-CallerLimits callerLimits()
+CallerLimits serverLimits()
 {
     CallerLimits result;
     result.bodyBytes = 2UL << 20;
@@ -58,7 +58,7 @@
         return static_cast<std::uint16_t>(settings.firstPort + offset);
     };
     m_tableServer = std::make_shared<CallerServer>(
-        io, callerLimits(), [this](HttpRequest &request) { return m_table.handleRequest(request); },
+        io, serverLimits(), [this](HttpRequest &request) { return m_table.handleRequest(request); },
         m_metrics);
     m_tableServer->start(kAddress, port(kTablePortOffset));
     m_config = {.version = {1},
@@ -72,7 +72,7 @@
         const std::uint16_t target = port(kWorkerPortOffset + 2 * index + 1);
         worker.proxy = std::make_unique<FaultProxy>(io, worker.port, target);
         worker.server = std::make_shared<CallerServer>(
-            io, callerLimits(),
+            io, serverLimits(),
             [this, index](HttpRequest &request) {
                 return m_workers[static_cast<std::size_t>(index)].incarnation->handleRequest(
                     request);
@@ -85,14 +85,14 @@
         Node node;
         node.tableProxy = std::make_unique<FaultProxy>(io, port(kTableProxyPortOffset + index),
                                                        port(kTablePortOffset));
-        const int first = port(kNodePortOffset + kPortsPerNode * index);
+        const int nodePort = port(kNodePortOffset + kPortsPerNode * index);
         const std::string name = "node-" + std::to_string(index);
-        node.callerAddress = addressAt(first);
+        node.callerAddress = addressAt(nodePort);
         node.process = std::make_unique<NodeProcess>(
             std::vector<std::string>{
                 settings.nodeProgram, "--id", name, "--zone", "z" + std::to_string(index % 2),
-                "--callers", node.callerAddress, "--health", addressAt(first + 1), "--metrics",
-                addressAt(first + 2), "--table", addressAt(port(kTableProxyPortOffset + index))},
+                "--callers", node.callerAddress, "--health", addressAt(nodePort + 1), "--metrics",
+                addressAt(nodePort + 2), "--table", addressAt(port(kTableProxyPortOffset + index))},
             settings.logFolder + "/" + name + ".log");
         node.process->start();
         m_nodes.push_back(std::move(node));
--- a/soak/deployment.h
+++ b/soak/deployment.h
@@ -26,7 +26,7 @@
 {
     std::string nodeProgram; ///< Path of the fleet node's executable.
     std::string logFolder; ///< Folder for the nodes' logs.
-    std::uint16_t firstPort = 23000; ///< First of about a hundred consecutive ports.
+    std::uint16_t firstPort = 23000; ///< First of 100 consecutive ports.
     int nodes = 4;
     int workers = 8;
     std::uint32_t seed = 1;
--- a/soak/faultinjector.h
+++ b/soak/faultinjector.h
@@ -16,13 +16,14 @@
 public:
     FaultInjector(boost::asio::io_context &io, Deployment &deployment, std::uint32_t seed);
 
-    /// Schedules `count` faults that begin between `from` and `to` from now. Each ends by `to`, but
-    /// lasts at least 200 ms.
+    /// Schedules `count` faults that begin at random times between `from` and `to`, counted from
+    /// now. Each ends by `to`, unless it would then last less than 200 ms.
     void plan(int count, Millis from, Millis to);
     /// Ends the faults of the table and the proxies and resumes paused nodes. Neither nodes nor
     /// workers that have terminated are restarted.
     void clearAll();
-    /// Returns the injected faults in order, each with its scheduled time in ms.
+    /// Returns the beginnings and ends of the faults in the order in which they took effect, each
+    /// with its scheduled time in ms.
     const std::vector<std::string> &history() const { return m_history; }
 
 private:
--- a/soak/faultproxy.cpp
+++ b/soak/faultproxy.cpp
@@ -35,7 +35,7 @@
     for (;;) {
         auto connection = std::make_shared<Connection>(m_io);
         co_await m_acceptor.async_accept(connection->client, asio::use_awaitable);
-        std::erase_if(m_connections, [](const auto &known) { return known.expired(); });
+        std::erase_if(m_connections, [](const auto &entry) { return entry.expired(); });
         m_connections.push_back(connection);
         asio::co_spawn(m_io, serve(connection), asio::detached);
     }
@@ -85,8 +85,8 @@
 
 void FaultProxy::resetConnections()
 {
-    for (const auto &known : m_connections) {
-        if (const auto connection = known.lock())
+    for (const auto &entry : m_connections) {
+        if (const auto connection = entry.lock())
             close(*connection);
     }
 }
--- a/soak/invariantchecker.cpp
+++ b/soak/invariantchecker.cpp
@@ -103,23 +103,23 @@
     task.running[run] = worker;
 }
 
-void InvariantChecker::onRunEnded(const TaskId &id, std::int64_t run, RunOutcome end)
+void InvariantChecker::onRunEnded(const TaskId &id, std::int64_t run, RunOutcome outcome)
 {
     Task &task = m_tasks[id];
     task.running.erase(run);
-    task.outcomes[run] = end;
-    task.isDone = task.isDone || end == RunOutcome::Done;
-    task.failures += end == RunOutcome::Failed ? 1 : 0;
+    task.outcomes[run] = outcome;
+    task.isDone = task.isDone || outcome == RunOutcome::Done;
+    task.failures += outcome == RunOutcome::Failed ? 1 : 0;
 }
 
 void InvariantChecker::onEndAcknowledged(const TaskId &id, std::int64_t run)
 {
     Task &task = m_tasks[id];
-    const auto end = task.outcomes.find(run);
-    if (end == task.outcomes.end())
+    const auto outcome = task.outcomes.find(run);
+    if (outcome == task.outcomes.end())
         return;
-    task.isDoneAcknowledged = task.isDoneAcknowledged || end->second == RunOutcome::Done;
-    task.acknowledgedFailures += end->second == RunOutcome::Failed ? 1 : 0;
+    task.isDoneAcknowledged = task.isDoneAcknowledged || outcome->second == RunOutcome::Done;
+    task.acknowledgedFailures += outcome->second == RunOutcome::Failed ? 1 : 0;
 }
 
 bool InvariantChecker::areAllJobsFinished() const
@@ -129,12 +129,12 @@
 
 std::vector<JobId> InvariantChecker::unfinishedJobs() const
 {
-    std::vector<JobId> open;
+    std::vector<JobId> unfinished;
     for (const auto &[id, job] : m_jobs) {
         if (job.isAccepted && !(job.reportedState && isFinal(*job.reportedState)))
-            open.push_back(id);
+            unfinished.push_back(id);
     }
-    return open;
+    return unfinished;
 }
 
 void InvariantChecker::checkFinalState()
--- a/soak/invariantchecker.h
+++ b/soak/invariantchecker.h
@@ -13,9 +13,11 @@
 
 namespace oleanderhall::soak {
 
-/// Internal: checks invariants on what callers and workers observe. No task runs twice at a time,
-/// before the steps that it depends on, more often than allowed, without a job or after its job was
-/// refused. No accepted job is lost or reported with a wrong state.
+/// Internal: checks invariants on what callers and workers observe:
+/// - A task belongs to a submitted job that was not refused.
+/// - A task has at most one active run, which starts after the steps that the task depends on.
+/// - A task is not started again after its completion or its last allowed failure was acknowledged.
+/// - No accepted job is lost or reported with a wrong state.
 class InvariantChecker : public platform::RunObserver
 {
 public:
@@ -30,7 +32,7 @@
 
     // Events at workers.
     void onRunStarted(const TaskId &task, std::int64_t run, const std::string &worker) override;
-    void onRunEnded(const TaskId &task, std::int64_t run, RunOutcome end) override;
+    void onRunEnded(const TaskId &task, std::int64_t run, RunOutcome outcome) override;
     void onEndAcknowledged(const TaskId &task, std::int64_t run) override;
 
     /// Checks that every accepted job is finished and none of its tasks still runs. Call it when
--- a/soak/main.cpp
+++ b/soak/main.cpp
@@ -23,7 +23,7 @@
 constexpr Millis kStartupTime{4000}; // until the nodes are up and one is the owner
 constexpr Millis kCheckInterval{100};
 /// Time for all jobs to finish after the last fault. Covers a lost lease, a change of owner, the
-/// wait for a worker that can't be read (7 s) and the work itself.
+/// wait for a worker that can't be synced (7 s) and the work itself.
 constexpr Millis kFinishTimeout{40000};
 
 struct Settings
--- a/standin/platform/main.cpp
+++ b/standin/platform/main.cpp
@@ -23,8 +23,8 @@
 constexpr std::chrono::seconds kSilentDuration{30};
 constexpr int kThreads = 32;
 
-/// Executes a call by `work(request, replies)` under the current fault. `work` sends the response
-/// itself, but only if `replies` is true.
+/// Serves a call under the current fault. `work(request, replies)` executes the call and, if
+/// `replies` is true, sends the response.
 template <typename Work>
 void serve(FaultSwitch &faults, http_request request, const Work &work)
 {
--- a/standin/workers/instance.h
+++ b/standin/workers/instance.h
@@ -33,8 +33,8 @@
     std::string service;
     std::string address;
     std::uint16_t port = 0;
-    int slots = 8; ///< Concurrent requests.
-    int connections = 64; ///< Open connections; further ones are closed when accepted.
+    int slots = 8; ///< Maximum number of concurrent requests.
+    int connections = 64; ///< Maximum number of open connections; further ones are closed.
 };
 
 /// An Instance is one upstream: an HTTP server that executes a limited number of requests at once
--- a/standin/workers/main.cpp
+++ b/standin/workers/main.cpp
@@ -20,7 +20,7 @@
 
 constexpr int kApiThreads = 16;
 constexpr int kInstanceThreads = 3;
-constexpr web::http::status_code kExitConflict = status_codes::Conflict;
+constexpr web::http::status_code kStaleEpochStatus = status_codes::Conflict;
 
 class WorkerFleet
 {
@@ -68,7 +68,7 @@
             const auto json = web::json::value::parse(body);
             const bool isDone = action == "reboot" ? worker(name).reboot(json)
                                                    : worker(name).setTasks(json);
-            request.reply(isDone ? status_codes::OK : kExitConflict);
+            request.reply(isDone ? status_codes::OK : kStaleEpochStatus);
         }
     }
 
--- a/standin/workers/worker.cpp
+++ b/standin/workers/worker.cpp
@@ -92,8 +92,8 @@
 bool Worker::isUp()
 {
     const std::lock_guard lock(m_mutex);
-    const bool hasRebooted = m_rebootEpoch == 0 || (!m_neverReturns && Clock::now() >= m_rebootEnd);
-    return !m_isDead && hasRebooted;
+    const bool isBooted = m_rebootEpoch == 0 || (!m_neverReturns && Clock::now() >= m_rebootEnd);
+    return !m_isDead && isBooted;
 }
 
 void Worker::setFault(const std::string &mode)
