--- a/include/oleanderhall/fleet/poolplanner.h
+++ b/include/oleanderhall/fleet/poolplanner.h
@@ -38,10 +38,10 @@
 
 private:
     /// The version of a record that the planner read last, and when it first read that version.
-    struct ObservedChange
+    struct RecordVersion
     {
         Sequence changedAt;
-        Instant firstSeen;
+        Instant firstReadAt;
     };
 
     /// Returns how long ago the planner first read this version of `record`.
@@ -49,7 +49,7 @@
 
     PoolId m_pool;
     PlannerSettings m_settings;
-    std::map<HostId, ObservedChange> m_observedChanges;
+    std::map<HostId, RecordVersion> m_observedChanges;
     std::map<HostId, int> m_startFailures; ///< Consecutive failed starts of instances.
 };
 
--- a/include/oleanderhall/jobs/queueconfig.h
+++ b/include/oleanderhall/jobs/queueconfig.h
@@ -29,7 +29,7 @@
     /// `allowance`.
     double stretch = 1;
     Millis allowance{0};
-    Millis timeout{0}; ///< The time limit of one request of a caller.
+    Millis callerTimeout{0}; ///< The time limit of one request of a caller.
     std::optional<AdviceConfig> advice;
 };
 
--- a/include/oleanderhall/maintenance/hostcommand.h
+++ b/include/oleanderhall/maintenance/hostcommand.h
@@ -12,11 +12,11 @@
 struct HostCommand
 {
     HostId host;
-    ServiceId pool; ///< The target pool of a move; empty for maintenance.
+    ServiceId targetPool; ///< The target pool of a move; empty for maintenance.
     std::int64_t wave = 0; ///< The wave's number; 0 for a move.
     std::string reason; ///< Shown to operators and auditors.
 
-    bool isMove() const { return !pool.empty(); }
+    bool isMove() const { return !targetPool.empty(); }
 };
 
 } // namespace oleanderhall
--- a/include/oleanderhall/maintenance/hostplanner.h
+++ b/include/oleanderhall/maintenance/hostplanner.h
@@ -20,7 +20,8 @@
 {
     Millis moveTime{1500}; ///< The longest time that a move takes.
     Millis maintenanceTime{2000}; ///< The longest time that a maintenance takes.
-    Millis minStay{600}; ///< The time after a move or maintenance before the next command.
+    /// The time after a move or maintenance before the next command.
+    Millis minCommandInterval{600};
     Millis surplusTime{800}; ///< How long a pool has surplus hosts before they become spares.
     /// The time before the next command to a host whose last one was rejected or not answered.
     Millis commandRetryDelay{300};
@@ -71,14 +72,14 @@
     /// an earlier owner has already maintained.
     void addWave(const Wave &wave, Instant firstSeen, const std::set<HostId> &maintained = {});
     /// Handles the result of a planned command. Every planned command must get one.
-    void commandAnswered(const HostCommand &command, HostCommandResult result, Instant now);
+    void onCommandResult(const HostCommand &command, HostCommandResult result, Instant now);
     /// Returns the commands to send now and the workers to cordon or evacuate. The plan is empty
     /// until the first list of hosts. `usageOf` returns the current load of a worker.
     Plan plan(const PoolDemands &demands, const UsageLookup &usageOf, Instant now);
 
     /// Returns the hosts of a wave that need no further command: their maintenance has started, or
     /// the platform rejected it for good.
-    std::set<HostId> maintained(std::int64_t wave) const;
+    std::set<HostId> handledHosts(std::int64_t wave) const;
     /// Returns the workers that the platform lists in `pool`, or nothing before the first list.
     std::optional<std::vector<WorkerId>> workersIn(ServiceId pool) const;
     /// Returns whether a command, move or maintenance is in progress, so that the list of hosts
@@ -99,7 +100,7 @@
     {
         Wave wave;
         Instant firstSeen;
-        std::set<HostId> started; ///< Hosts that need no further command.
+        std::set<HostId> handledHosts; ///< Hosts that need no further command.
         std::map<HostId, Instant> unavailableUntil; ///< The expected end of each maintenance.
         bool isCompleted = false;
         bool isReported = false; ///< A plan has contained the wave's state.
@@ -117,7 +118,7 @@
     void planMoves(const PoolDemands &demands, const UsageLookup &usageOf, Instant now, Plan &plan);
     std::map<ServiceId, PoolState> poolStates(const PoolDemands &demands, Instant now) const;
     /// Returns whether `pool` has a host that is in a wave and still needs a command for it.
-    bool isMaintaining(ServiceId pool) const;
+    bool awaitsMaintenance(ServiceId pool) const;
     Host *findFreeHost(ServiceId from, ServiceId to, const UsageLookup &usageOf, Instant now);
     void cordonLeastLoaded(ServiceId pool, int count, const UsageLookup &usageOf, Instant now,
                            Plan &plan);
@@ -125,7 +126,7 @@
 
     HostPlannerSettings m_settings;
     std::map<HostId, Instant> m_pausedUntil;
-    std::map<ServiceId, bool> m_pools; ///< By pool: whether it is the spare pool.
+    std::map<ServiceId, bool> m_isSpareByPool; ///< By pool: whether it is the spare pool.
     ServiceId m_sparePool;
     std::map<HostId, Host> m_hosts;
     bool m_hasHostList = false;
--- a/include/oleanderhall/ownership/ownership.h
+++ b/include/oleanderhall/ownership/ownership.h
@@ -63,16 +63,16 @@
 
     enum class Step { None, TakeOver, Renew };
     /// Returns the call to send now. Returns None until the result of the last call was passed to
-    /// takeOverAnswered() or renewAnswered().
+    /// onTakeOverResult() or onRenewResult().
     Step nextStep(Instant now);
     /// Handles the term record and the version of the heartbeat's row, as read from the table.
-    void recordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now);
+    void onRecordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now);
     /// Handles the result of a take-over. `version` is the version of the written rows and is used
     /// only if `isDone`; `sent` is the time at which the call was sent.
-    void takeOverAnswered(bool isDone, std::uint64_t version, Instant sent, Instant now);
+    void onTakeOverResult(bool isDone, std::uint64_t version, Instant sent, Instant now);
     /// Handles the result of a renewal. `isLost` means that the term's row has changed, so another
     /// process is the owner.
-    void renewAnswered(bool isDone, bool isLost, std::uint64_t version, Instant sent, Instant now);
+    void onRenewResult(bool isDone, bool isLost, std::uint64_t version, Instant sent, Instant now);
     /// Prevents further take-overs by this process, as before a planned stop.
     void resign() { m_isEligible = false; }
 
--- a/include/oleanderhall/register/servicerule.h
+++ b/include/oleanderhall/register/servicerule.h
@@ -21,7 +21,7 @@
     int connections = 64; ///< Concurrent connections that one instance accepts.
     Millis defaultTimeout{2000};
     std::vector<UnrepeatableCall> unrepeatable;
-    std::vector<int> notRunStatuses; ///< Status codes that mean the request was not executed.
+    std::vector<int> notExecutedStatuses; ///< Status codes that mean the request was not executed.
 
     friend bool operator==(const ServiceRule &, const ServiceRule &) = default;
 };
--- a/include/oleanderhall/rollout/changelog.h
+++ b/include/oleanderhall/rollout/changelog.h
@@ -55,7 +55,7 @@
             if (const auto base = newBaseKey(entry, head, isLarge)) {
                 m_store.put(*base, toJson(configAfter).serialize());
                 next.baseKey = *base;
-                next.baseVersion = next.config;
+                next.baseVersion = next.configVersion;
             }
             if (isLarge) {
                 m_store.put(entryKey(entry), data);
@@ -101,7 +101,8 @@
         forEachItem("wave", "",
                     [&waves](const TableItem &item) { waves.push_back(parseWaveRow(item.data)); });
         FleetState state;
-        state.restore(head.sequence, head.config, std::move(config), std::move(hosts), waves);
+        state.restore(head.sequence, head.configVersion, std::move(config), std::move(hosts),
+                      waves);
         return state;
     }
 
@@ -134,7 +135,7 @@
         if (!head.baseKey.empty())
             applyPatch(config, parsePatchText(m_store.fetch(head.baseKey)));
         forEachItem("config", rowOf(Sequence{head.baseVersion.value}), [&](const TableItem &item) {
-            if (item.key.row <= rowOf(Sequence{head.config.value}))
+            if (item.key.row <= rowOf(Sequence{head.configVersion.value}))
                 applyPatch(config, parsePatchText(item.data));
         });
         return config;
--- a/include/oleanderhall/rollout/loghead.h
+++ b/include/oleanderhall/rollout/loghead.h
@@ -10,7 +10,7 @@
 struct LogHead
 {
     Sequence sequence;
-    ConfigVersion config;
+    ConfigVersion configVersion;
     std::string baseKey; ///< Key of the object with the base configuration, or empty.
     ConfigVersion baseVersion; ///< Version of the base configuration.
 
--- a/include/oleanderhall/routing/retrybudget.h
+++ b/include/oleanderhall/routing/retrybudget.h
@@ -23,7 +23,7 @@
 
 private:
     /// Resets the counters if a minute has passed since the window began.
-    void startMinute(Instant now);
+    void resetIfMinutePassed(Instant now);
 
     int m_percent;
     Instant m_minuteStart;
--- a/include/oleanderhall/routing/retryreason.h
+++ b/include/oleanderhall/routing/retryreason.h
@@ -5,10 +5,16 @@
 namespace oleanderhall {
 
 /// Why a request was sent to an upstream again.
-enum class RetryReason { ConnectFailed, UpstreamRefused, StaleConnection, TimedOut, BrokenAnswer };
+enum class RetryReason {
+    ConnectFailed,
+    UpstreamRefused,
+    StaleConnection,
+    TimedOut,
+    IncompleteResponse
+};
 
-/// The number of retry reasons. Keep BrokenAnswer the last enumerator.
-inline constexpr int kRetryReasonCount = static_cast<int>(RetryReason::BrokenAnswer) + 1;
+/// The number of retry reasons. Keep IncompleteResponse the last enumerator.
+inline constexpr int kRetryReasonCount = static_cast<int>(RetryReason::IncompleteResponse) + 1;
 
 /// Returns the stable name used in metrics.
 std::string_view nameOf(RetryReason reason);
--- a/include/oleanderhall/scheduling/leaseclock.h
+++ b/include/oleanderhall/scheduling/leaseclock.h
@@ -19,7 +19,7 @@
     /// Records that the worker's clock showed `clock` at `receivedAt` or shortly before.
     void update(Millis clock, Instant receivedAt);
     /// Returns the worker's clock at `now`, extrapolated from the last observation without drift.
-    Millis latestTime(Instant now) const;
+    Millis estimatedTime(Instant now) const;
     /// Records that a command was sent whose lease expires at `expiry` on the worker's clock.
     void recordGranted(Millis expiry);
     /// Records that the worker has accepted a lease that expires at `expiry`.
--- a/include/oleanderhall/scheduling/scheduler.h
+++ b/include/oleanderhall/scheduling/scheduler.h
@@ -116,7 +116,7 @@
     };
 
     // Handling of events.
-    WorkerState *answeringWorker(WorkerId id, CallResult result, Instant now);
+    WorkerState *findCommandedWorker(WorkerId id, CallResult result, Instant now);
     std::pair<WorkerState *, WorkerRun *> findCommandedRun(WorkerId id, const TaskId &task,
                                                            std::int64_t number, CallResult result,
                                                            Instant now);
@@ -201,7 +201,7 @@
     std::optional<std::uint64_t> m_batchInFlight;
     std::vector<JobId> m_batchJobs; ///< Jobs updated by the write in flight.
     std::vector<JobId> m_batchDropped; ///< Jobs deleted by the write in flight.
-    Instant m_recordDue; ///< No progress is written before this time.
+    Instant m_nextRecordTime; ///< No progress is written before this time.
     std::vector<Decision> m_decisions;
 };
 
--- a/include/oleanderhall/scheduling/scheduleraction.h
+++ b/include/oleanderhall/scheduling/scheduleraction.h
@@ -63,7 +63,7 @@
 {
     std::uint64_t batch = 0;
     std::vector<JobProgress> updates;
-    std::vector<JobId> dropped;
+    std::vector<JobId> droppedJobs;
 };
 
 /// An action that the Scheduler requests; its caller carries it out and reports the result.
--- a/include/oleanderhall/scheduling/workerstatus.h
+++ b/include/oleanderhall/scheduling/workerstatus.h
@@ -21,7 +21,17 @@
 };
 
 /// How a run ended. Only `Failed` counts as a failed attempt of its task.
-enum class RunOutcome { Done, Failed, Stopped, LeaseExpired, Broken, Alone };
+enum class RunOutcome {
+    Done,
+    Failed,
+    Stopped,
+    LeaseExpired,
+    /// The run ended because another member of its gang ended. On the wire "broken", in logs 4.
+    GangMemberEnded,
+    /// The run waited for the other members of its gang until the gang time-out. On the wire
+    /// "alone", in logs 5.
+    GangTimeout
+};
 
 /// An ended run, which the worker reports until it is acknowledged.
 struct EndedRun
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -36,7 +36,7 @@
             .maxAttempts = 3,
             .stretch = 1.6,
             .allowance = Millis(600),
-            .timeout = Millis(3000)};
+            .callerTimeout = Millis(3000)};
 }
 
 std::string addressAt(int port)
@@ -123,7 +123,7 @@
 {
     m_config.version.value += 3;
     for (QueueConfig &queue : m_config.queues)
-        queue.timeout += Millis(100);
+        queue.callerTimeout += Millis(100);
     publishConfig();
 }
 
--- a/src/fleet/poolplanner.cpp
+++ b/src/fleet/poolplanner.cpp
@@ -14,7 +14,7 @@
     PoolStep step(state, observations, m_pool, m_settings, m_startFailures);
     for (const HostId host : state.hostsOf(m_pool)) {
         const HostRecord &record = *state.record(host);
-        step.progress(record, timeSinceChange(record, now));
+        step.advanceHost(record, timeSinceChange(record, now));
     }
     step.admitNewHosts();
     step.placeInstances();
@@ -25,13 +25,13 @@
 
 Millis PoolPlanner::timeSinceChange(const HostRecord &record, Instant now)
 {
-    ObservedChange &observedChange = m_observedChanges
-                                         .try_emplace(record.id,
-                                                      ObservedChange{record.changedAt, now})
-                                         .first->second;
+    RecordVersion &observedChange = m_observedChanges
+                                        .try_emplace(record.id,
+                                                     RecordVersion{record.changedAt, now})
+                                        .first->second;
     if (observedChange.changedAt != record.changedAt)
         observedChange = {record.changedAt, now};
-    return std::chrono::duration_cast<Millis>(now - observedChange.firstSeen);
+    return std::chrono::duration_cast<Millis>(now - observedChange.firstReadAt);
 }
 
 } // namespace oleanderhall
--- a/src/fleet/poolstep.cpp
+++ b/src/fleet/poolstep.cpp
@@ -49,10 +49,10 @@
     // disconnected.
     const bool isLarge = serving >= kMinHostsForMassFailure;
     m_ignoresUnhealthy = isLarge && 2 * unhealthy > serving;
-    m_budgetsLeaving = isLarge && 2 * leaving > serving;
+    m_limitsLeavingByBudget = isLarge && 2 * leaving > serving;
 }
 
-void PoolStep::progress(const HostRecord &record, Millis sinceChange)
+void PoolStep::advanceHost(const HostRecord &record, Millis sinceChange)
 {
     if (!canAddChange())
         return;
--- a/src/fleet/poolstep.h
+++ b/src/fleet/poolstep.h
@@ -20,7 +20,7 @@
 
     /// Takes the next step of the host's lifecycle. `sinceChange` is the time since the planner
     /// first read this version of the record.
-    void progress(const HostRecord &record, Millis sinceChange);
+    void advanceHost(const HostRecord &record, Millis sinceChange);
     /// Adds records for the hosts that the register newly assigns to the pool.
     void admitNewHosts();
     /// Adds and removes instances so that the pool's services have as many as their rules say.
@@ -81,7 +81,8 @@
     std::map<HostId, int> &m_startFailures;
     DisruptionBudget m_budget;
     bool m_ignoresUnhealthy = false; ///< Too many hosts unhealthy at once: none is marked failed.
-    bool m_budgetsLeaving = false; ///< Too many hosts leaving at once: the budget limits drains.
+    /// Too many hosts leaving at once: the budget limits drains.
+    bool m_limitsLeavingByBudget = false;
     PoolPlan m_plan;
     std::map<HostId, HostRecord> m_changed; ///< The hosts that this step has changed.
 };
--- a/src/fleet/poolstepdisruptions.cpp
+++ b/src/fleet/poolstepdisruptions.cpp
@@ -14,7 +14,7 @@
         if (record.state != HostState::Serving || isChanged(host) || !canAddChange())
             continue;
         const PoolId assignedPool = registeredPool(host);
-        if (m_observations.currentFor(record).leaving && m_budgetsLeaving) {
+        if (m_observations.currentFor(record).leaving && m_limitsLeavingByBudget) {
             tryDisrupt(record, Disruption::Leave, "the platform reports that the host is leaving");
         } else if (m_observations.currentFor(record).leaving) {
             HostRecord next = record;
--- a/src/http/callparser.cpp
+++ b/src/http/callparser.cpp
@@ -78,13 +78,13 @@
 {
     const auto keys = request.count(kIdempotencyKeyHeader);
     if (keys == 0)
-        return call.isUnrepeatable ? std::optional(refuse(RefusalReason::MissingKey))
+        return call.isUnrepeatable ? std::optional(refuse(RefusalReason::MissingIdempotencyKey))
                                    : std::nullopt;
     call.idempotencyKey = std::string(view(request.at(kIdempotencyKeyHeader)));
     const bool isValid = keys == 1 && !call.idempotencyKey.empty()
         && call.idempotencyKey.size() <= kMaxKeyLength && isPrintableAscii(call.idempotencyKey);
     if (!isValid)
-        return refuse(RefusalReason::BadKey);
+        return refuse(RefusalReason::InvalidIdempotencyKey);
     return std::nullopt;
 }
 
--- a/src/http/dispatcher.cpp
+++ b/src/http/dispatcher.cpp
@@ -34,8 +34,8 @@
 
 bool isNotRunStatus(const ServiceRule &rule, int status)
 {
-    return std::find(rule.notRunStatuses.begin(), rule.notRunStatuses.end(), status)
-        != rule.notRunStatuses.end();
+    return std::find(rule.notExecutedStatuses.begin(), rule.notExecutedStatuses.end(), status)
+        != rule.notExecutedStatuses.end();
 }
 
 /// Returns the deadline of the next attempt. A request that may be retried reserves half of its
@@ -208,7 +208,7 @@
             call, progress, RetryReason::TimedOut,
             {RefusalReason::UpstreamTimeout, ExecutionStatus::Unknown, std::nullopt});
     const RetryReason reason = outcome.kind == Kind::Stale ? RetryReason::StaleConnection
-                                                           : RetryReason::BrokenAnswer;
+                                                           : RetryReason::IncompleteResponse;
     return retryOrRefuse(call, progress, reason,
                          {RefusalReason::UpstreamBroken, ExecutionStatus::Unknown, std::nullopt});
 }
--- a/src/maintenance/hostplanner.cpp
+++ b/src/maintenance/hostplanner.cpp
@@ -19,10 +19,10 @@
 
 void HostPlanner::setPools(const std::vector<PoolConfig> &pools)
 {
-    m_pools.clear();
+    m_isSpareByPool.clear();
     m_sparePool = {};
     for (const PoolConfig &pool : pools) {
-        m_pools[pool.service] = pool.isSpare;
+        m_isSpareByPool[pool.service] = pool.isSpare;
         if (pool.isSpare)
             m_sparePool = pool.service;
     }
@@ -50,13 +50,13 @@
     if (state.wave.number == 0)
         state.firstSeen = firstSeen;
     state.wave = wave;
-    state.started.insert(maintained.begin(), maintained.end());
+    state.handledHosts.insert(maintained.begin(), maintained.end());
 }
 
-std::set<HostId> HostPlanner::maintained(std::int64_t wave) const
+std::set<HostId> HostPlanner::handledHosts(std::int64_t wave) const
 {
     const auto found = m_waves.find(wave);
-    return found == m_waves.end() ? std::set<HostId>() : found->second.started;
+    return found == m_waves.end() ? std::set<HostId>() : found->second.handledHosts;
 }
 
 std::optional<std::vector<WorkerId>> HostPlanner::workersIn(ServiceId pool) const
@@ -75,7 +75,7 @@
 {
     return std::any_of(m_hosts.begin(), m_hosts.end(), [&](const auto &entry) {
         const Host &host = entry.second;
-        return host.isCommandInFlight || now < host.unavailableUntil + m_settings.minStay
+        return host.isCommandInFlight || now < host.unavailableUntil + m_settings.minCommandInterval
             || host.info.state == HostInfo::State::Moving
             || host.info.state == HostInfo::State::Maintenance;
     });
@@ -92,20 +92,20 @@
 void HostPlanner::addCommand(Host &host, HostCommand command, Plan &plan)
 {
     host.isCommandInFlight = true;
-    host.targetPool = command.pool;
+    host.targetPool = command.targetPool;
     plan.commands.push_back(std::move(command));
 }
 
-void HostPlanner::commandAnswered(const HostCommand &command, HostCommandResult result, Instant now)
+void HostPlanner::onCommandResult(const HostCommand &command, HostCommandResult result, Instant now)
 {
     const auto found = m_hosts.find(command.host);
     const auto wave = m_waves.find(command.wave);
     if (!command.isMove() && wave != m_waves.end()) {
         if (result == HostCommandResult::Done) {
-            wave->second.started.insert(command.host);
+            wave->second.handledHosts.insert(command.host);
             wave->second.unavailableUntil[command.host] = now + m_settings.maintenanceTime;
         } else if (result == HostCommandResult::NotOfWave || result == HostCommandResult::Invalid) {
-            wave->second.started.insert(command.host); // the platform rejected it for good
+            wave->second.handledHosts.insert(command.host); // the platform rejected it for good
         } else if (result != HostCommandResult::Unknown) {
             wave->second.unavailableUntil.erase(command.host);
         }
@@ -118,10 +118,10 @@
         const Millis unavailableTime = command.isMove() ? m_settings.moveTime
                                                         : m_settings.maintenanceTime;
         host.unavailableUntil = now + unavailableTime;
-        host.nextCommandAt = now + unavailableTime + m_settings.minStay;
+        host.nextCommandAt = now + unavailableTime + m_settings.minCommandInterval;
         host.info.worker = {};
         if (command.isMove()) {
-            host.info.pool = command.pool;
+            host.info.pool = command.targetPool;
             host.info.state = HostInfo::State::Moving;
         } else {
             host.info.state = HostInfo::State::Maintenance;
@@ -129,7 +129,7 @@
         return;
     }
     if (result == HostCommandResult::Invalid && command.isMove())
-        host.rejectedPools.insert(command.pool);
+        host.rejectedPools.insert(command.targetPool);
     host.nextCommandAt = now + m_settings.commandRetryDelay;
 }
 
@@ -164,7 +164,7 @@
             if (isCommanded || mayBeCommanded
                 || found->second.info.state == HostInfo::State::Maintenance)
                 ++unavailable;
-            if (!state.started.contains(id))
+            if (!state.handledHosts.contains(id))
                 remaining.push_back(&found->second);
         }
         if (!state.isReported || remaining.empty()) {
@@ -220,13 +220,13 @@
     }
 }
 
-bool HostPlanner::isMaintaining(ServiceId pool) const
+bool HostPlanner::awaitsMaintenance(ServiceId pool) const
 {
     return std::any_of(m_waves.begin(), m_waves.end(), [&](const auto &entry) {
         const WaveState &state = entry.second;
         return std::any_of(state.wave.hosts.begin(), state.wave.hosts.end(), [&](HostId id) {
             const auto host = m_hosts.find(id);
-            return !state.started.contains(id) && host != m_hosts.end()
+            return !state.handledHosts.contains(id) && host != m_hosts.end()
                 && host->second.info.pool == pool;
         });
     });
@@ -259,7 +259,7 @@
             / (state.coresPerHost * m_settings.usableShare);
         // While hosts await maintenance, the pool needs one host more than the number that its
         // tasks must be spread over.
-        const int reserve = isMaintaining(pool) ? 1 : 0;
+        const int reserve = awaitsMaintenance(pool) ? 1 : 0;
         const int fewest = std::max(m_settings.minHostsPerPool, demand.minHosts + reserve);
         state.desiredHosts = std::max(fewest, static_cast<int>(std::ceil(desired)));
     }
@@ -304,12 +304,12 @@
 void HostPlanner::planMoves(const PoolDemands &demands, const UsageLookup &usageOf, Instant now,
                             Plan &plan)
 {
-    if (m_sparePool.empty() && m_pools.size() < 2)
+    if (m_sparePool.empty() && m_isSpareByPool.size() < 2)
         return;
     std::map<ServiceId, PoolState> states = poolStates(demands, now);
     std::vector<std::pair<double, ServiceId>> poolsShortOfHosts;
     for (const auto &[pool, state] : states) {
-        if (pool != m_sparePool && m_pools.contains(pool)
+        if (pool != m_sparePool && m_isSpareByPool.contains(pool)
             && state.currentHosts < state.desiredHosts)
             poolsShortOfHosts.emplace_back(
                 static_cast<double>(state.currentHosts) / state.desiredHosts, pool);
@@ -319,7 +319,7 @@
         PoolState &recipient = states[pool];
         std::vector<ServiceId> sources{m_sparePool};
         for (const auto &[other, state] : states) {
-            if (other != m_sparePool && other != pool && m_pools.contains(other)
+            if (other != m_sparePool && other != pool && m_isSpareByPool.contains(other)
                 && state.currentHosts > state.desiredHosts)
                 sources.push_back(other);
         }
@@ -334,7 +334,7 @@
                 --donor.currentHosts;
                 addCommand(*host,
                            {.host = host->info.id,
-                            .pool = pool,
+                            .targetPool = pool,
                             .reason = "pool wants " + std::to_string(recipient.desiredHosts)
                                 + " hosts, has " + std::to_string(recipient.currentHosts - 1)},
                            plan);
@@ -349,7 +349,7 @@
     if (m_sparePool.empty())
         return;
     for (auto &[pool, state] : states) {
-        const bool hasSurplus = pool != m_sparePool && m_pools.contains(pool)
+        const bool hasSurplus = pool != m_sparePool && m_isSpareByPool.contains(pool)
             && state.currentHosts > state.desiredHosts;
         if (!hasSurplus) {
             m_surplusSince.erase(pool);
@@ -363,10 +363,11 @@
             if (!host)
                 break;
             --state.currentHosts;
-            addCommand(
-                *host,
-                {.host = host->info.id, .pool = m_sparePool, .reason = "idle: pool wants fewer"},
-                plan);
+            addCommand(*host,
+                       {.host = host->info.id,
+                        .targetPool = m_sparePool,
+                        .reason = "idle: pool wants fewer"},
+                       plan);
         }
     }
 }
--- a/src/node/callerapi.cpp
+++ b/src/node/callerapi.cpp
@@ -129,8 +129,8 @@
     const QueueConfig *queue = m_view.config->find(hostName, path);
     if (!queue)
         co_return refuse(kNotFound, "no_such_queue", std::nullopt);
-    Target target{*queue, m_view.config->version, path.substr(queue->prefix.size()),
-                  responseDeadline(request, monotonicNow())};
+    JobTarget target{*queue, m_view.config->version, path.substr(queue->prefix.size()),
+                     responseDeadline(request, monotonicNow())};
     const auto method = request.method();
     if (target.jobId.empty()) {
         if (method == boost::beast::http::verb::get)
@@ -151,7 +151,7 @@
     co_return refuse(kNotAllowed, "method_not_allowed", std::nullopt);
 }
 
-Reply CallerApi::waitingCount(const Target &target)
+Reply CallerApi::waitingCount(const JobTarget &target)
 {
     if (monotonicNow() - m_view.report.receivedAt > kMaxReportAge)
         return refuse(kUnavailable, "count_unknown", kRetryAfter);
@@ -181,7 +181,7 @@
     co_return result ? std::move(*result) : ReadResult{};
 }
 
-asio::awaitable<Reply> CallerApi::submit(Target target, JobId id, std::string body)
+asio::awaitable<Reply> CallerApi::submit(JobTarget target, JobId id, std::string body)
 {
     JobSpec job{.id = id, .queue = target.queue, .config = target.config};
     FindingList findings;
--- a/src/node/callerapi.h
+++ b/src/node/callerapi.h
@@ -29,7 +29,7 @@
 
 private:
     boost::asio::awaitable<Reply> route(HttpRequest &request);
-    struct Target
+    struct JobTarget
     {
         QueueConfig queue;
         ConfigVersion config;
@@ -37,10 +37,10 @@
         Instant deadline; ///< Of the response; usually before the caller's time limit.
     };
 
-    boost::asio::awaitable<Reply> submit(Target target, JobId id, std::string body);
+    boost::asio::awaitable<Reply> submit(JobTarget target, JobId id, std::string body);
     boost::asio::awaitable<Reply> jobState(JobId id);
     boost::asio::awaitable<Reply> cancel(JobId id);
-    Reply waitingCount(const Target &target);
+    Reply waitingCount(const JobTarget &target);
     boost::asio::awaitable<platform::TransactionResult> transact(platform::Transaction transaction);
     boost::asio::awaitable<platform::ReadResult> readJob(JobId id);
     Reply refuse(int status, const char *reason, std::optional<Millis> retryAfter);
--- a/src/node/fleetnode.cpp
+++ b/src/node/fleetnode.cpp
@@ -197,7 +197,7 @@
                 applyMaintainedHosts(m_view, row);
         }
         const bool wasOwner = m_ownership.isOwner();
-        m_ownership.recordsRead(term, heartbeat, monotonicNow());
+        m_ownership.onRecordsRead(term, heartbeat, monotonicNow());
         if (wasOwner && !m_ownership.isOwner())
             endTerm();
     }
@@ -215,7 +215,7 @@
     {
         const Instant now = monotonicNow();
         if (m_owner && (m_owner->isSuperseded() || !m_ownership.isOwner())) {
-            m_ownership.renewAnswered(false, true, 0, now, now);
+            m_ownership.onRenewResult(false, true, 0, now, now);
             endTerm();
         }
         switch (m_ownership.nextStep(now)) {
@@ -250,7 +250,7 @@
         m_table.transact(
             transaction, kTakeOverTimeout, [this](const platform::TransactionResult &response) {
                 const bool isDone = response.outcome == platform::TransactionResult::Outcome::Done;
-                m_ownership.takeOverAnswered(isDone, response.version, response.sentAt,
+                m_ownership.onTakeOverResult(isDone, response.version, response.sentAt,
                                              monotonicNow());
                 if (!isDone || m_isShuttingDown)
                     return;
@@ -281,7 +281,7 @@
         m_table.transact(
             transaction, kControlTimeout, [this](const platform::TransactionResult &response) {
                 using Outcome = platform::TransactionResult::Outcome;
-                m_ownership.renewAnswered(response.outcome == Outcome::Done,
+                m_ownership.onRenewResult(response.outcome == Outcome::Done,
                                           response.outcome == Outcome::Conflict, response.version,
                                           response.sentAt, monotonicNow());
                 if (!m_ownership.isOwner())
@@ -336,7 +336,7 @@
         if (!wasOwner)
             return;
         endTerm();
-        m_ownership.renewAnswered(false, true, 0, monotonicNow(), monotonicNow());
+        m_ownership.onRenewResult(false, true, 0, monotonicNow(), monotonicNow());
         platform::Transaction transaction{.partition = kControlPartition};
         transaction.preconditions.push_back({kControlTable, kTermKey, term.version});
         transaction.writes.push_back(
--- a/src/node/fleetowner.cpp
+++ b/src/node/fleetowner.cpp
@@ -257,7 +257,7 @@
             batch.transaction.deletes.push_back({kJobTable, jobKey(update.id, JobRow::Spec), {}});
         batch.updates.push_back(update);
     }
-    for (const JobId id : write.dropped) {
+    for (const JobId id : write.droppedJobs) {
         auto &deletedRows = batchOf(id).transaction.deletes;
         deletedRows.push_back({kJobTable, jobKey(id, JobRow::Cancel), {}});
         deletedRows.push_back({kProgressTable, jobKey(id, JobRow::Cancel), {}});
--- a/src/node/hostcontroller.cpp
+++ b/src/node/hostcontroller.cpp
@@ -284,7 +284,7 @@
     logInfo("host_ordered",
             {{"host", command.host.name()},
              {"worker", worker.name()},
-             {"pool", command.pool.name()},
+             {"pool", command.targetPool.name()},
              {"wave", std::to_string(command.wave)},
              {"reason", command.reason}});
     const auto done = [weak = weak_from_this(), command, worker](HostCommandResult result) {
@@ -294,7 +294,7 @@
     };
     const std::uint64_t token = m_ownership.term().version;
     if (command.isMove())
-        m_client.move(command.host, command.pool, token, done);
+        m_client.move(command.host, command.targetPool, token, done);
     else
         m_client.maintain(command.host, command.wave, token, done);
 }
@@ -305,7 +305,7 @@
     const Instant now = monotonicNow();
     logFields("host_order_answered", result != HostCommandResult::Done,
               {{"host", command.host.name()}, {"result", nameOf(result)}});
-    m_planner.commandAnswered(command, result, now);
+    m_planner.onCommandResult(command, result, now);
     // The next list of hosts shows whether this command ended the worker.
     if (result == HostCommandResult::Done)
         m_endVerifier.commandDone(command.host, worker, now);
@@ -343,11 +343,11 @@
 
 void HostController::recordMaintainedHosts(Instant now)
 {
-    if (m_isRecording || now < m_nextRecord)
+    if (m_isRecording || now < m_nextRecordTime)
         return;
-    m_nextRecord = now + kRecordInterval;
+    m_nextRecordTime = now + kRecordInterval;
     for (const auto &[number, wave] : m_view.waves) {
-        const std::set<HostId> maintained = m_planner.maintained(number);
+        const std::set<HostId> maintained = m_planner.handledHosts(number);
         if (maintained.size() <= m_recordedHostCounts[number])
             continue;
         web::json::value list = web::json::value::array();
--- a/src/node/hostcontroller.h
+++ b/src/node/hostcontroller.h
@@ -64,7 +64,7 @@
     std::map<HostId, HostInfo::State> m_hostStates;
     boost::asio::steady_timer m_listTimer;
     Instant m_nextPlan{};
-    Instant m_nextRecord{};
+    Instant m_nextRecordTime{};
     /// Number of maintained hosts that are recorded, by wave.
     std::map<std::int64_t, std::size_t> m_recordedHostCounts;
     std::map<std::int64_t, bool> m_unpublishedWaveStates; ///< By wave, whether it is completed.
--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -20,7 +20,7 @@
     , m_nextAttempt(now)
 {}
 
-void Ownership::recordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now)
+void Ownership::onRecordsRead(const TermRecord &term, std::uint64_t heartbeatVersion, Instant now)
 {
     if (term.version < m_term.version)
         return; // an answer that arrived out of order
@@ -70,7 +70,7 @@
     return Step::TakeOver;
 }
 
-void Ownership::takeOverAnswered(bool isDone, std::uint64_t version, Instant sent, Instant now)
+void Ownership::onTakeOverResult(bool isDone, std::uint64_t version, Instant sent, Instant now)
 {
     m_isCallInFlight = false;
     if (!isDone) {
@@ -87,7 +87,7 @@
     m_lastRenewal = sent;
 }
 
-void Ownership::renewAnswered(bool isDone, bool isLost, std::uint64_t version, Instant sent,
+void Ownership::onRenewResult(bool isDone, bool isLost, std::uint64_t version, Instant sent,
                               Instant now)
 {
     m_isCallInFlight = false;
--- a/src/register/registerjson.cpp
+++ b/src/register/registerjson.cpp
@@ -67,9 +67,9 @@
         calls[index]["path"] = value::string(rule.unrepeatable[index].pathPrefix);
     }
     result["unrepeatable"] = calls;
-    value statuses = value::array(rule.notRunStatuses.size());
-    for (std::size_t index = 0; index < rule.notRunStatuses.size(); ++index)
-        statuses[index]["status"] = value::number(rule.notRunStatuses[index]);
+    value statuses = value::array(rule.notExecutedStatuses.size());
+    for (std::size_t index = 0; index < rule.notExecutedStatuses.size(); ++index)
+        statuses[index]["status"] = value::number(rule.notExecutedStatuses[index]);
     result["notRunStatuses"] = statuses;
     return result;
 }
--- a/src/register/registerparser.cpp
+++ b/src/register/registerparser.cpp
@@ -162,7 +162,7 @@
     cursor.forEach("notRunStatuses", false, [&rule](const JsonCursor &status) {
         status.allowOnly({"status"});
         const auto code = status.number("status", kMinErrorStatus, kMaxErrorStatus);
-        rule.notRunStatuses.push_back(static_cast<int>(code));
+        rule.notExecutedStatuses.push_back(static_cast<int>(code));
     });
     return rule;
 }
--- a/src/rollout/logcodec.cpp
+++ b/src/rollout/logcodec.cpp
@@ -78,7 +78,7 @@
     LogHead next = head;
     next.sequence = entry.sequence;
     if (const ConfigChange *config = configChangeOf(entry))
-        next.config = std::max(head.config, config->version);
+        next.configVersion = std::max(head.configVersion, config->version);
     return next;
 }
 
--- a/src/rollout/loghead.cpp
+++ b/src/rollout/loghead.cpp
@@ -12,7 +12,7 @@
     using web::json::value;
     value result = value::object();
     result["sequence"] = value::number(head.sequence.value);
-    result["config"] = value::number(head.config.value);
+    result["config"] = value::number(head.configVersion.value);
     result["baseVersion"] = value::number(head.baseVersion.value);
     if (!head.baseKey.empty())
         result["baseKey"] = value::string(head.baseKey);
@@ -31,7 +31,7 @@
     };
     LogHead head{
         .sequence = {count("sequence")},
-        .config = {count("config")},
+        .configVersion = {count("config")},
         .baseKey = cursor.textOr("baseKey", ""),
         .baseVersion = {count("baseVersion")},
     };
--- a/src/routing/claimrecord.cpp
+++ b/src/routing/claimrecord.cpp
@@ -41,7 +41,8 @@
     if (!existing)
         return ClaimAllowed{};
     if (existing->requestHash != requestHash)
-        return Refusal{RefusalReason::KeyReused, ExecutionStatus::NotExecuted, std::nullopt};
+        return Refusal{RefusalReason::IdempotencyKeyReused, ExecutionStatus::NotExecuted,
+                       std::nullopt};
     switch (existing->state) {
     case ClaimState::Released:
         return ClaimAllowed{};
@@ -55,7 +56,7 @@
         break;
     }
     if (!existing->hasStoredBody)
-        return Refusal{RefusalReason::AlreadyRan, ExecutionStatus::Executed, std::nullopt};
+        return Refusal{RefusalReason::AlreadyExecuted, ExecutionStatus::Executed, std::nullopt};
     return ReplayedResponse{existing->status, existing->contentType, existing->body};
 }
 
--- a/src/routing/retrybudget.cpp
+++ b/src/routing/retrybudget.cpp
@@ -10,13 +10,13 @@
 
 void RetryBudget::countFirstAttempt(Instant now)
 {
-    startMinute(now);
+    resetIfMinutePassed(now);
     ++m_firstAttempts;
 }
 
 bool RetryBudget::tryAcquire(Instant now)
 {
-    startMinute(now);
+    resetIfMinutePassed(now);
     if ((m_retries + 1) * kPercentDenominator
         > m_firstAttempts * static_cast<std::uint64_t>(m_percent))
         return false;
@@ -24,7 +24,7 @@
     return true;
 }
 
-void RetryBudget::startMinute(Instant now)
+void RetryBudget::resetIfMinutePassed(Instant now)
 {
     if (now - m_minuteStart < std::chrono::minutes(1))
         return;
--- a/src/scheduling/leaseclock.cpp
+++ b/src/scheduling/leaseclock.cpp
@@ -14,7 +14,7 @@
     m_observedAt = receivedAt;
 }
 
-Millis LeaseClock::latestTime(Instant now) const
+Millis LeaseClock::estimatedTime(Instant now) const
 {
     return m_observedTime + std::chrono::duration_cast<Millis>(now - m_observedAt);
 }
--- a/src/scheduling/schedulerevents.cpp
+++ b/src/scheduling/schedulerevents.cpp
@@ -83,7 +83,7 @@
 
 /// Returns the worker that a command or poll was sent to, or nullptr if it is not known any more.
 /// If `result` shows that it has terminated, drops its runs and returns nullptr.
-WorkerState *Scheduler::answeringWorker(WorkerId id, CallResult result, Instant now)
+WorkerState *Scheduler::findCommandedWorker(WorkerId id, CallResult result, Instant now)
 {
     const auto found = m_workers.find(id);
     if (found == m_workers.end())
@@ -101,7 +101,7 @@
                                                                   std::int64_t number,
                                                                   CallResult result, Instant now)
 {
-    WorkerState *worker = answeringWorker(id, result, now);
+    WorkerState *worker = findCommandedWorker(id, result, now);
     WorkerRun *run = worker ? findRun(*worker, task, number) : nullptr;
     if (run)
         run->isCommandInFlight = false;
@@ -206,7 +206,7 @@
 void Scheduler::onPollResult(const PollRequest &request, CallResult result,
                              const WorkerStatus &status, Instant sent, Instant now)
 {
-    WorkerState *answering = answeringWorker(request.worker, result, now);
+    WorkerState *answering = findCommandedWorker(request.worker, result, now);
     if (!answering)
         return;
     WorkerState &worker = *answering;
@@ -252,7 +252,7 @@
     m_batchInFlight.reset();
     constexpr Millis kWriteRetryDelay{100};
     if (!isDurable) {
-        m_recordDue = now + kWriteRetryDelay;
+        m_nextRecordTime = now + kWriteRetryDelay;
         for (const JobId id : m_batchJobs) {
             if (const auto found = m_jobs.find(id); found != m_jobs.end())
                 markDirty(found->second);
--- a/src/scheduling/schedulerplacement.cpp
+++ b/src/scheduling/schedulerplacement.cpp
@@ -396,7 +396,7 @@
     if (job.spec.queue.advice)
         command.ticket = m_tickets.find({run.task.job, run.task.occurrence, run.task.step},
                                         worker.info.id, now);
-    command.leaseExpiry = worker.clock.latestTime(now) + m_settings.workerLease;
+    command.leaseExpiry = worker.clock.estimatedTime(now) + m_settings.workerLease;
     worker.clock.recordGranted(command.leaseExpiry);
     m_startWindow.onSent();
     return command;
--- a/src/scheduling/schedulertick.cpp
+++ b/src/scheduling/schedulertick.cpp
@@ -95,7 +95,7 @@
     // Ended runs are reported until they are acknowledged, which requires a durable record. A poll
     // before that would return immediately with the same ends.
     const Millis left = worker.clock.isKnown()
-        ? worker.clock.confirmedExpiry() - worker.clock.latestTime(now)
+        ? worker.clock.confirmedExpiry() - worker.clock.estimatedTime(now)
         : Millis(0);
     const bool isLeaseShort = left < m_settings.workerLease / 2;
     if (hasUnrecorded && !(isLeaseShort && !worker.runs.empty()))
@@ -114,7 +114,7 @@
     // Does not extend the lease of an unresponsive worker, so that it expires and the runs are
     // known to have ended. One lost answer is tolerated.
     if (!worker.runs.empty() && worker.clock.isKnown() && worker.failedPolls <= 1) {
-        request.leaseExpiry = worker.clock.latestTime(now) + m_settings.workerLease;
+        request.leaseExpiry = worker.clock.estimatedTime(now) + m_settings.workerLease;
         worker.clock.recordGranted(request.leaseExpiry);
     }
     if (!needsAnswerNow && !worker.runs.empty())
@@ -125,7 +125,7 @@
 
 void Scheduler::writeProgress(Instant now, std::vector<SchedulerAction> &out)
 {
-    if (m_batchInFlight || now < m_recordDue)
+    if (m_batchInFlight || now < m_nextRecordTime)
         return;
     expireOldJobs(now);
     if (m_dirty.empty() && m_expiredJobs.empty()) {
@@ -155,9 +155,9 @@
     for (const JobId id : m_batchJobs)
         m_dirty.erase(id);
     m_batchDropped.clear();
-    while (write.updates.size() + write.dropped.size() < m_settings.maxJobsPerWrite
+    while (write.updates.size() + write.droppedJobs.size() < m_settings.maxJobsPerWrite
            && !m_expiredJobs.empty()) {
-        write.dropped.push_back(m_expiredJobs.back());
+        write.droppedJobs.push_back(m_expiredJobs.back());
         m_batchDropped.push_back(m_expiredJobs.back());
         m_expiredJobs.pop_back();
     }
@@ -166,7 +166,7 @@
             worker.lastEndInBatch = worker.lastHandledEnd;
     }
     m_batchInFlight = write.batch;
-    m_recordDue = now + m_settings.recordInterval;
+    m_nextRecordTime = now + m_settings.recordInterval;
     out.emplace_back(std::move(write));
 }
 
--- a/tests/maintenance/hostplanner_test.cpp
+++ b/tests/maintenance/hostplanner_test.cpp
@@ -48,7 +48,7 @@
     void answer(const HostPlanner::Plan &plan, HostCommandResult result = HostCommandResult::Done)
     {
         for (const HostCommand &command : plan.commands)
-            planner.commandAnswered(command, result, now);
+            planner.onCommandResult(command, result, now);
     }
 
     Wave wave(std::vector<std::string> names, int maxAtOnce)
@@ -63,7 +63,7 @@
     {
         int count = 0;
         for (const HostCommand &command : plan.commands)
-            count += command.pool == pool ? 1 : 0;
+            count += command.targetPool == pool ? 1 : 0;
         return count;
     }
 
@@ -225,7 +225,7 @@
     now += Millis(1000);
     for (const HostCommand &command : plan(50, 40).commands) {
         for (const HostCommand &refused : result.commands)
-            CHECK_FALSE((command.host == refused.host && command.pool == refused.pool));
+            CHECK_FALSE((command.host == refused.host && command.targetPool == refused.targetPool));
     }
 }
 
--- a/tests/ownership/ownership_test.cpp
+++ b/tests/ownership/ownership_test.cpp
@@ -13,9 +13,9 @@
     /// Makes this process the owner of a fleet without an owner.
     void becomeOwner()
     {
-        ownership.recordsRead({}, 0, now);
+        ownership.onRecordsRead({}, 0, now);
         REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
-        ownership.takeOverAnswered(true, 5, now, now);
+        ownership.onTakeOverResult(true, 5, now, now);
     }
 
     OwnershipSettings settings;
@@ -43,7 +43,7 @@
 TEST_CASE_METHOD(OwnershipTest, "Ownership_ownerRenews_isLeftAlone", "[ownership]")
 {
     for (std::uint64_t heartbeat = 10; heartbeat < 20; ++heartbeat) {
-        ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, heartbeat, now);
+        ownership.onRecordsRead({.owner = "other", .generation = 1, .version = 7}, heartbeat, now);
         advance(settings.lease - Millis(1));
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
     }
@@ -51,11 +51,11 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_ownerFallsSilent_takesOverAfterItsLease", "[ownership]")
 {
-    ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, 10, now);
+    ownership.onRecordsRead({.owner = "other", .generation = 1, .version = 7}, 10, now);
     for (int half = 0; half < 2; ++half) {
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
         advance(settings.lease / 2);
-        ownership.recordsRead({.owner = "other", .generation = 1, .version = 7}, 10, now);
+        ownership.onRecordsRead({.owner = "other", .generation = 1, .version = 7}, 10, now);
     }
     CHECK(ownership.nextStep(now) == Ownership::Step::TakeOver);
 }
@@ -67,7 +67,7 @@
     const Instant renewed = now;
     advance(settings.renewInterval);
     REQUIRE(ownership.nextStep(now) == Ownership::Step::Renew);
-    ownership.renewAnswered(false, false, 0, now, now);
+    ownership.onRenewResult(false, false, 0, now, now);
     CHECK(ownership.maySendCommands(renewed + settings.lease - settings.margin - Millis(1)));
     CHECK_FALSE(ownership.maySendCommands(renewed + settings.lease - settings.margin));
     CHECK(ownership.mayExtendLeases(renewed + settings.leaseExtensionTime - Millis(1)));
@@ -81,14 +81,14 @@
     const Instant sent = now;
     REQUIRE(ownership.nextStep(now) == Ownership::Step::Renew);
     advance(Millis(900));
-    ownership.renewAnswered(true, false, 9, sent, now);
+    ownership.onRenewResult(true, false, 9, sent, now);
     CHECK_FALSE(ownership.maySendCommands(sent + settings.lease - settings.margin));
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_anotherTermSeen_endsOwnership", "[ownership]")
 {
     becomeOwner();
-    ownership.recordsRead({.owner = "other", .generation = 2, .version = 8}, 8, now);
+    ownership.onRecordsRead({.owner = "other", .generation = 2, .version = 8}, 8, now);
     CHECK_FALSE(ownership.isOwner());
     CHECK_FALSE(ownership.maySendCommands(now));
 }
@@ -96,13 +96,13 @@
 TEST_CASE_METHOD(OwnershipTest, "Ownership_overtakenAnswer_changesNothing", "[ownership]")
 {
     becomeOwner();
-    ownership.recordsRead({.owner = "earlier", .generation = 0, .version = 2}, 3, now);
+    ownership.onRecordsRead({.owner = "earlier", .generation = 0, .version = 2}, 3, now);
     CHECK(ownership.isOwner());
 }
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_resigned_doesNotTakeOverAgain", "[ownership]")
 {
-    ownership.recordsRead({}, 0, now);
+    ownership.onRecordsRead({}, 0, now);
     ownership.resign();
     advance(std::chrono::minutes(1));
     CHECK(ownership.nextStep(now) == Ownership::Step::None);
@@ -110,10 +110,10 @@
 
 TEST_CASE_METHOD(OwnershipTest, "Ownership_takeOverRefused_triesAgainLater", "[ownership]")
 {
-    ownership.recordsRead({}, 0, now);
+    ownership.onRecordsRead({}, 0, now);
     REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
     CHECK(ownership.nextStep(now) == Ownership::Step::None);
-    ownership.takeOverAnswered(false, 0, now, now);
+    ownership.onTakeOverResult(false, 0, now, now);
     CHECK(ownership.nextStep(now) == Ownership::Step::None);
     advance(settings.retryDelay);
     CHECK(ownership.nextStep(now) == Ownership::Step::TakeOver);
@@ -122,19 +122,19 @@
 TEST_CASE_METHOD(OwnershipTest, "Ownership_tableBackAfterOutage_leavesItToTheOwner", "[ownership]")
 {
     const TermRecord term{.owner = "other", .generation = 1, .version = 7};
-    ownership.recordsRead(term, 10, now);
+    ownership.onRecordsRead(term, 10, now);
     for (int quarter = 0; quarter < 16; ++quarter) { // an outage of the table for all processes
         advance(Millis(250));
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
     }
-    ownership.recordsRead(term, 10, now);
+    ownership.onRecordsRead(term, 10, now);
     CHECK(ownership.nextStep(now) == Ownership::Step::None);
     // The owner does not renew after the outage either.
     const Instant outageEnd = now;
     while (now < outageEnd + settings.lease) {
         CHECK(ownership.nextStep(now) == Ownership::Step::None);
         advance(Millis(500));
-        ownership.recordsRead(term, 10, now);
+        ownership.onRecordsRead(term, 10, now);
     }
     CHECK(ownership.nextStep(now) == Ownership::Step::TakeOver);
 }
@@ -143,10 +143,10 @@
                  "[ownership]")
 {
     // Run numbers are derived from the generation, so two owners must never have the same one.
-    ownership.recordsRead({.owner = "", .generation = 4, .version = 7}, 0, now);
+    ownership.onRecordsRead({.owner = "", .generation = 4, .version = 7}, 0, now);
     REQUIRE(ownership.nextStep(now) == Ownership::Step::TakeOver);
-    ownership.recordsRead({.owner = "self", .generation = 5, .version = 8}, 8, now);
-    ownership.takeOverAnswered(true, 8, now, now);
+    ownership.onRecordsRead({.owner = "self", .generation = 5, .version = 8}, 8, now);
+    ownership.onTakeOverResult(true, 8, now, now);
     CHECK(ownership.term().generation == 5);
 }
 
@@ -162,12 +162,12 @@
     const auto wait = [&](Millis time) {
         for (Millis left = time; left > Millis(0); left -= Millis(500)) {
             advance(Millis(500));
-            weak.recordsRead(term, 10, now);
-            strong.recordsRead(term, 10, now);
+            weak.onRecordsRead(term, 10, now);
+            strong.onRecordsRead(term, 10, now);
         }
     };
-    weak.recordsRead(term, 10, now);
-    strong.recordsRead(term, 10, now);
+    weak.onRecordsRead(term, 10, now);
+    strong.onRecordsRead(term, 10, now);
     wait(settings.lease);
     CHECK(weak.nextStep(now) == Ownership::Step::None);
     CHECK(strong.nextStep(now) == Ownership::Step::TakeOver);
@@ -179,7 +179,7 @@
 {
     settings.processorShare = 0.12;
     Ownership weak{"weak", settings, now};
-    weak.recordsRead({.generation = 1, .version = 7, .processorShare = 0.5}, 10, now);
+    weak.onRecordsRead({.generation = 1, .version = 7, .processorShare = 0.5}, 10, now);
     CHECK(weak.nextStep(now) == Ownership::Step::None);
     advance(settings.belowOwnerDelay);
     CHECK(weak.nextStep(now) == Ownership::Step::TakeOver);
@@ -191,10 +191,10 @@
     settings.processorShare = 0.12;
     Ownership weak{"weak", settings, now};
     const TermRecord term{.owner = "other", .generation = 1, .version = 7, .processorShare = 0.12};
-    weak.recordsRead(term, 10, now);
+    weak.onRecordsRead(term, 10, now);
     for (int half = 0; half < 2; ++half) {
         advance(settings.lease / 2);
-        weak.recordsRead(term, 10, now);
+        weak.onRecordsRead(term, 10, now);
     }
     CHECK(weak.nextStep(now) == Ownership::Step::None);
     advance(settings.lowShareDelay);
--- a/tests/routing/claimstore_test.cpp
+++ b/tests/routing/claimstore_test.cpp
@@ -54,7 +54,7 @@
 TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a key with another body: is refused")
 {
     claimOne(request("k", "one"));
-    CHECK(reasonOf(claimOne(request("k", "two"))) == RefusalReason::KeyReused);
+    CHECK(reasonOf(claimOne(request("k", "two"))) == RefusalReason::IdempotencyKeyReused);
 }
 
 TEST_CASE_METHOD(ClaimStoreTest, "ClaimStore: a finished request: its answer is replayed")
